--- a/internal/call/answer.go
+++ b/internal/call/answer.go
@@ -11,12 +11,12 @@
 
 // RejectInvalid rejects a request that can be read but is not possible, without the Decider.
 func (m *Manager) RejectInvalid(client Client, r Request) {
-	m.rejectUnplaced(client, &r, finalAnswer{outcome: RejectedInvalid, cause: CauseTemporaryFailure})
+	m.rejectUnopened(client, &r, finalAnswer{outcome: RejectedInvalid, cause: CauseTemporaryFailure})
 }
 
 // RejectShuttingDown rejects a request that arrives while the process shuts down, without the Decider.
 func (m *Manager) RejectShuttingDown(client Client, r Request) {
-	m.rejectUnplaced(client, &r, finalAnswer{outcome: RejectedShuttingDown, cause: CauseNoCircuit})
+	m.rejectUnopened(client, &r, finalAnswer{outcome: RejectedShuttingDown, cause: CauseNoCircuit})
 }
 
 // RejectOpenCalls rejects all open calls, at the end of an orderly shutdown.
@@ -54,9 +54,9 @@
 	m.notifyAnswered(c, finalAnswer{outcome: Abandoned})
 }
 
-// rejectUnplaced rejects a request that is not opened as a call.
-func (m *Manager) rejectUnplaced(client Client, r *Request, answer finalAnswer) {
-	m.notifyRejectedUnplaced(r, answer)
+// rejectUnopened rejects a request that is not opened as a call.
+func (m *Manager) rejectUnopened(client Client, r *Request, answer finalAnswer) {
+	m.notifyRejectedUnopened(r, answer)
 	client.CallRejected(r.ID, answer.cause, 0)
 }
 
@@ -77,15 +77,15 @@
 // the reason end.
 func (m *Manager) endOpenCall(c *call, end AttemptEnd) {
 	wasAttempting := c.state == callAttempting
-	m.forget(c)
-	m.settleAnswer(c)
+	m.removeCall(c)
+	m.releaseOpenSlot(c)
 	if wasAttempting {
 		m.reportAttemptEnd(c, m.cancelAtBackend(c, end))
 	}
 }
 
-// settleAnswer removes a call from those whose final answer is owed.
-func (m *Manager) settleAnswer(c *call) {
+// releaseOpenSlot removes a call from those whose final answer is owed.
+func (m *Manager) releaseOpenSlot(c *call) {
 	m.openCalls--
 	m.descriptionBytes -= len(c.Description)
 	c.Description = nil
--- a/internal/call/attempt.go
+++ b/internal/call/attempt.go
@@ -92,7 +92,7 @@
 	m.Established++
 	m.notifyAnswered(c, finalAnswer{outcome: Established})
 	c.client.CallEstablished(c.ID, description)
-	m.settleAnswer(c)
+	m.releaseOpenSlot(c)
 }
 
 // AttemptEnded takes the end of an attempt that did not establish its call. It does nothing if the
--- a/internal/call/completed.go
+++ b/internal/call/completed.go
@@ -25,8 +25,8 @@
 	return &expiringIDs{entries: make(map[string]int), maxEntries: maxEntries}
 }
 
-// has reports whether an id is in the set.
-func (s *expiringIDs) has(id string) bool { return s.entries[id] > 0 }
+// contains reports whether an id is in the set.
+func (s *expiringIDs) contains(id string) bool { return s.entries[id] > 0 }
 
 // add adds an id until a time. An id that is in the set already is kept until the later time.
 func (s *expiringIDs) add(id string, expiresAt Time) {
--- a/internal/call/deadlines.go
+++ b/internal/call/deadlines.go
@@ -14,7 +14,7 @@
 	}
 	// Decisions come first: a decision on an overdue call may ask its caller not to retry for a while.
 	for _, c := range overdue {
-		if c.isUnplaced() {
+		if c.awaitsAttempt() {
 			m.reportAbandoned(c)
 			m.failExpired(c)
 		}
@@ -35,12 +35,12 @@
 // attempt whose own deadlines have passed; a call may be listed more than once.
 func (m *Manager) expireDeadlines(now Time) (overdue []*call) {
 	for len(m.deadlines) > 0 && m.deadlines[0].at <= now {
-		d := m.deadlines.next()
+		d := m.deadlines.popEarliest()
 		c := d.call
 		switch {
 		case c.state == callAttempting && c.attempt.number == d.attempt:
 			m.cancelAttempt(c, TimedOut)
-		case c.isUnplaced() && now >= c.Deadline:
+		case c.awaitsAttempt() && now >= c.Deadline:
 			overdue = append(overdue, c)
 		}
 	}
@@ -72,8 +72,8 @@
 
 func (h *deadlineHeap) schedule(d deadline) { heap.Push(h, d) }
 
-// next removes and returns the earliest deadline.
-func (h *deadlineHeap) next() deadline { return heap.Pop(h).(deadline) }
+// popEarliest removes and returns the earliest deadline.
+func (h *deadlineHeap) popEarliest() deadline { return heap.Pop(h).(deadline) }
 
 // Len implements heap.Interface.
 func (h deadlineHeap) Len() int { return len(h) }
--- a/internal/call/manager.go
+++ b/internal/call/manager.go
@@ -94,8 +94,8 @@
 	return selected
 }
 
-// forget removes an ended call and remembers its id.
-func (m *Manager) forget(c *call) {
+// removeCall removes an ended call and remembers its id.
+func (m *Manager) removeCall(c *call) {
 	delete(m.calls, c.ID)
 	c.releaseRoute()
 	m.completedCalls.add(c.ID, m.now()+completedCallRetention)
--- a/internal/call/notify.go
+++ b/internal/call/notify.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// notifyRejectedUnplaced reports a request that is rejected without being opened as a call.
-func (m *Manager) notifyRejectedUnplaced(r *Request, answer finalAnswer) {
+// notifyRejectedUnopened reports a request that is rejected without being opened as a call.
+func (m *Manager) notifyRejectedUnopened(r *Request, answer finalAnswer) {
 	if m.observer == nil {
 		return
 	}
--- a/internal/call/offer.go
+++ b/internal/call/offer.go
@@ -11,12 +11,12 @@
 		return m.mergeOffer(c, client, &r)
 	}
 	if answer, rejected := m.screenOffer(&r); rejected {
-		m.rejectUnplaced(client, &r, answer)
+		m.rejectUnopened(client, &r, answer)
 		return nil
 	}
 	c := newCall(client, &r, m.now())
 	if accepted := m.routeOffer(c, &r); !accepted {
-		m.rejectUnplaced(client, &r, finalAnswer{outcome: RejectedByPolicy, cause: c.route.rejectionCause()})
+		m.rejectUnopened(client, &r, finalAnswer{outcome: RejectedByPolicy, cause: c.route.rejectionCause()})
 		return nil
 	}
 	m.openCall(c, &r)
@@ -43,12 +43,12 @@
 // screenOffer returns the answer to an offer that is rejected without being opened, and whether it is.
 func (m *Manager) screenOffer(r *Request) (answer finalAnswer, rejected bool) {
 	switch {
-	case m.completedCalls.has(r.ID):
+	case m.completedCalls.contains(r.ID):
 		// The call may have run, and an attempt of it may just have been canceled: it must neither be
 		// sent again nor reach the Decider.
 		m.ReusedIDs++
 		return finalAnswer{outcome: RejectedReusedID, cause: CauseTemporaryFailure}, true
-	case m.unknownReleases.ids.has(r.ID):
+	case m.unknownReleases.ids.contains(r.ID):
 		// The caller has abandoned the call on another connection, whose message was read first.
 		m.Abandoned++
 		return finalAnswer{outcome: Abandoned, cause: CauseTemporaryFailure}, true
--- a/internal/call/release.go
+++ b/internal/call/release.go
@@ -29,7 +29,7 @@
 	if m.isCompleted(id) {
 		return false
 	}
-	if !m.unknownReleases.admit(m.now()) {
+	if !m.unknownReleases.allow(m.now()) {
 		m.UnknownReleasesDropped++
 		m.notifyLimit(LimitUnknownRelease, id)
 		return true
@@ -114,7 +114,7 @@
 func (m *Manager) endEstablished(c *call, end AttemptEnd, cause int) {
 	m.notifyReleased(c, end, cause)
 	m.countEstablishedEnd(c.attempt.server)
-	m.forget(c)
+	m.removeCall(c)
 	m.reportAttemptEnd(c, end)
 }
 
@@ -129,7 +129,7 @@
 // isCompleted reports whether a call is known to have ended. The releases of the two sides may cross,
 // and either side may repeat its own on another connection.
 func (m *Manager) isCompleted(id string) bool {
-	return m.completedCalls.has(id) || m.unknownReleases.ids.has(id)
+	return m.completedCalls.contains(id) || m.unknownReleases.ids.contains(id)
 }
 
 // recordUnknownRelease counts and remembers the release of an unknown call.
@@ -150,8 +150,8 @@
 	inWindow    int // releases since windowStart
 }
 
-// admit counts a release and reports whether it is within the rate limit.
-func (u *unknownReleases) admit(now Time) bool {
+// allow counts a release and reports whether it is within the rate limit.
+func (u *unknownReleases) allow(now Time) bool {
 	if now-u.windowStart > time.Second {
 		u.windowStart = now
 		u.inWindow = 0
--- a/internal/call/state.go
+++ b/internal/call/state.go
@@ -89,8 +89,8 @@
 // isOpen reports whether the final answer of the call is owed.
 func (c *call) isOpen() bool { return c.state != callEstablished && c.state != callEnded }
 
-// isUnplaced reports whether the call is open and has no attempt in progress.
-func (c *call) isUnplaced() bool { return c.state == callRouting || c.state == callWaiting }
+// awaitsAttempt reports whether the call is open and has no attempt in progress.
+func (c *call) awaitsAttempt() bool { return c.state == callRouting || c.state == callWaiting }
 
 // isAttempting reports whether the given attempt of the call is in progress.
 func (c *call) isAttempting(server string, attempt int) bool {
