--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -76,7 +76,7 @@
 		return ErrWrongQuestion
 	}
 	question := questions[0]
-	if !equalNames(question.Name, service) || question.Type != dnsmessage.TypeSRV {
+	if !equalNames(question.Name, srvName) || question.Type != dnsmessage.TypeSRV {
 		return ErrWrongQuestion
 	}
 	return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,10 +18,10 @@
 
 // A Resolver keeps the list of endpoints as of the newest accepted answer. It is for one goroutine at a time.
 type Resolver struct {
-	serial  uint32
-	members map[string]config.Endpoint // by Endpoint.ID
-	queries queryLog
-	empty   emptyAnswer
+	serial    uint32
+	endpoints map[string]config.Endpoint // by Endpoint.ID
+	queries   queryLog
+	empty     emptyAnswer
 }
 
 // An emptyAnswer is the latest answer without endpoints that waits for confirmation by another query's answer.
@@ -33,11 +33,11 @@
 // NewResolver applies the events that the configuration holds. It returns the resolver and its endpoints in the
 // order of their IDs.
 func NewResolver(known config.KnownEndpoints) (*Resolver, []config.Endpoint) {
-	r := &Resolver{serial: uint32(known.LastEvent), members: make(map[string]config.Endpoint)}
+	r := &Resolver{serial: uint32(known.LastEvent), endpoints: make(map[string]config.Endpoint)}
 	for _, event := range known.Events {
 		r.apply(event.Endpoints)
 	}
-	all := slices.Collect(maps.Values(r.members))
+	all := slices.Collect(maps.Values(r.endpoints))
 	sortByID(all)
 	return r, all
 }
@@ -45,13 +45,13 @@
 // apply changes the list by one event of the configuration.
 func (r *Resolver) apply(update config.EndpointList) {
 	if update.Complete {
-		clear(r.members)
+		clear(r.endpoints)
 	}
 	for _, endpoint := range update.Endpoints {
 		if endpoint.Phase == config.PhaseGone {
-			delete(r.members, endpoint.ID)
+			delete(r.endpoints, endpoint.ID)
 		} else {
-			r.members[endpoint.ID] = endpoint
+			r.endpoints[endpoint.ID] = endpoint
 		}
 	}
 }
@@ -73,22 +73,22 @@
 	if !isNewer(received.serial, r.serial) {
 		return nil, nil
 	}
-	if !r.acceptsSize(received) {
+	if !r.passesEmptyListCheck(received) {
 		return nil, fmt.Errorf("discovery: answer: %w", ErrEmptyList)
 	}
-	changed := r.changes(received.endpoints)
+	changed := r.diff(received.endpoints)
 	r.serial = received.serial
-	r.members = received.endpoints
+	r.endpoints = received.endpoints
 	return changed, nil
 }
 
 // isNewer compares serial numbers as RFC 1982 does: they wrap around.
 func isNewer(serial, current uint32) bool { return int32(serial-current) > 0 }
 
-// acceptsSize guards against an answer that has lost its records: an old list is better than none. A list becomes
+// passesEmptyListCheck guards against an answer that has lost its records: an old list is better than none. A list becomes
 // empty only when the answers to two queries in a row say so; a repeated answer to one query is not a confirmation.
-func (r *Resolver) acceptsSize(received answer) bool {
-	losesAll := len(received.endpoints) == 0 && len(r.members) > 0
+func (r *Resolver) passesEmptyListCheck(received answer) bool {
+	losesAll := len(received.endpoints) == 0 && len(r.endpoints) > 0
 	isConfirmed := r.empty.pending && r.empty.queryID != received.queryID
 	if losesAll && !isConfirmed {
 		r.empty = emptyAnswer{pending: true, queryID: received.queryID}
@@ -98,17 +98,17 @@
 	return true
 }
 
-// changes compares the list with a newer one.
-func (r *Resolver) changes(newer map[string]config.Endpoint) []config.Endpoint {
+// diff compares the list with a newer one.
+func (r *Resolver) diff(newer map[string]config.Endpoint) []config.Endpoint {
 	var changed []config.Endpoint
-	for id, endpoint := range r.members {
+	for id, endpoint := range r.endpoints {
 		if _, isListed := newer[id]; !isListed {
 			endpoint.Phase = config.PhaseGone
 			changed = append(changed, endpoint)
 		}
 	}
 	for id, endpoint := range newer {
-		if r.members[id] != endpoint {
+		if r.endpoints[id] != endpoint {
 			changed = append(changed, endpoint)
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -35,14 +35,14 @@
 		}
 	}
 	check(b.StartQuestions())
-	check(b.Question(dnsmessage.Question{Name: service, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}))
+	check(b.Question(dnsmessage.Question{Name: srvName, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}))
 	check(b.StartAnswers())
 	for _, h := range hosts {
 		check(b.SRVResource(header(ServiceName), dnsmessage.SRVResource{Priority: h.priority, Weight: 40, Port: 5060,
 			Target: dnsmessage.MustNewName(h.id + ".east.hosts.")}))
 	}
 	check(b.StartAuthorities())
-	check(b.SOAResource(header(ServiceName), dnsmessage.SOAResource{NS: service, MBox: service, Serial: serial}))
+	check(b.SOAResource(header(ServiceName), dnsmessage.SOAResource{NS: srvName, MBox: srvName, Serial: serial}))
 	check(b.StartAdditionals())
 	for _, h := range hosts {
 		name := header(h.id + ".east.hosts.")
@@ -62,57 +62,57 @@
 		Started: started}
 }
 
-// newQueriedList returns a list of a (ready) and c (terminating) as of serial 3, after a query with ID 7.
-func newQueriedList(t *testing.T) *Resolver {
+// newQueriedResolver returns a list of a (ready) and c (terminating) as of serial 3, after a query with ID 7.
+func newQueriedResolver(t *testing.T) *Resolver {
 	t.Helper()
 	ready := []config.Endpoint{endpoint("a", config.PhaseReady, 0), endpoint("b", config.PhaseReady, 0)}
 	gone := []config.Endpoint{endpoint("b", config.PhaseGone, 0)}
 	terminating := []config.Endpoint{endpoint("c", config.PhaseTerminating, 0)}
-	l, all := NewResolver(config.KnownEndpoints{LastEvent: 3, Events: []config.EndpointEvent{
+	resolver, all := NewResolver(config.KnownEndpoints{LastEvent: 3, Events: []config.EndpointEvent{
 		{N: 1, Endpoints: config.EndpointList{Complete: true, Endpoints: ready}},
 		{N: 2, Endpoints: config.EndpointList{Endpoints: gone}},
 		{N: 3, Endpoints: config.EndpointList{Endpoints: terminating}}}})
 	if len(all) != 2 || all[0].ID != "a" || all[1].Phase != config.PhaseTerminating {
 		t.Fatalf("start: %+v", all)
 	}
-	if _, err := l.NewQuery(7); err != nil {
+	if _, err := resolver.NewQuery(7); err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return resolver
 }
 
 func TestChanges(t *testing.T) {
-	l := newQueriedList(t)
+	resolver := newQueriedResolver(t)
 	hosts := []listedHost{{id: "a", priority: 1}, {id: "d", started: 1234}}
-	got, err := l.HandleAnswer(encodeAnswer(t, 7, 5, hosts...))
+	got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 5, hosts...))
 	want := []config.Endpoint{endpoint("a", config.PhaseTerminating, 0), endpoint("c", config.PhaseGone, 0),
 		endpoint("d", config.PhaseReady, 1234)}
-	if err != nil || !slices.Equal(got, want) || l.Serial() != 5 {
-		t.Errorf("got %+v, %v, serial %d", got, err, l.Serial())
+	if err != nil || !slices.Equal(got, want) || resolver.Serial() != 5 {
+		t.Errorf("got %+v, %v, serial %d", got, err, resolver.Serial())
 	}
-	if got, err := l.HandleAnswer(encodeAnswer(t, 7, 4)); err != nil || len(got) != 0 || l.Serial() != 5 {
+	if got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 4)); err != nil || len(got) != 0 || resolver.Serial() != 5 {
 		t.Errorf("an older answer: %+v, %v", got, err)
 	}
-	got, err = l.HandleAnswer(encodeAnswer(t, 7, 6, listedHost{id: "d", started: 1234}))
+	got, err = resolver.HandleAnswer(encodeAnswer(t, 7, 6, listedHost{id: "d", started: 1234}))
 	if err != nil || len(got) != 1 || got[0].Phase != config.PhaseGone {
 		t.Errorf("got %+v, %v", got, err)
 	}
 }
 
 func TestManyEndpointsFitAnAnswer(t *testing.T) {
-	l := newQueriedList(t)
+	resolver := newQueriedResolver(t)
 	var hosts []listedHost
 	for i := range 60 {
 		hosts = append(hosts, listedHost{id: fmt.Sprint("s-", i)})
 	}
 	message := encodeAnswer(t, 7, 9, hosts...)
-	if got, err := l.HandleAnswer(message); err != nil || len(got) != 62 || len(message) < 4000 {
+	if got, err := resolver.HandleAnswer(message); err != nil || len(got) != 62 || len(message) < 4000 {
 		t.Errorf("%d changes, %v, of %d bytes", len(got), err, len(message))
 	}
 }
 
 func TestInvalidAnswersChangeNothing(t *testing.T) {
-	l := newQueriedList(t)
+	resolver := newQueriedResolver(t)
 	valid := encodeAnswer(t, 7, 9, listedHost{id: "z"})
 	serverFailure := slices.Clone(valid)
 	serverFailure[3] |= 2 // SERVFAIL
@@ -127,8 +127,8 @@
 	}
 	for name, message := range invalid {
 		t.Run(name, func(t *testing.T) {
-			if got, err := l.HandleAnswer(message); err == nil || l.Serial() != 3 {
-				t.Errorf("%+v, serial %d", got, l.Serial())
+			if got, err := resolver.HandleAnswer(message); err == nil || resolver.Serial() != 3 {
+				t.Errorf("%+v, serial %d", got, resolver.Serial())
 			}
 		})
 	}
@@ -138,18 +138,18 @@
 		for range 1 + rng.IntN(4) {
 			message[rng.IntN(len(message))] = byte(rng.Uint32())
 		}
-		fresh := newQueriedList(t)
+		fresh := newQueriedResolver(t)
 		_, _ = fresh.HandleAnswer(message)
 	}
 }
 
 // The errors of answers that fit no query can be told apart.
 func TestAnswerErrors(t *testing.T) {
-	l := newQueriedList(t)
-	if _, err := l.HandleAnswer(encodeAnswer(t, 8, 9)); !errors.Is(err, ErrUnsolicited) {
+	resolver := newQueriedResolver(t)
+	if _, err := resolver.HandleAnswer(encodeAnswer(t, 8, 9)); !errors.Is(err, ErrUnsolicited) {
 		t.Errorf("another id: %v", err)
 	}
-	if _, err := l.HandleAnswer(encodeAnswer(t, 7, 9)); !errors.Is(err, ErrEmptyList) {
+	if _, err := resolver.HandleAnswer(encodeAnswer(t, 7, 9)); !errors.Is(err, ErrEmptyList) {
 		t.Errorf("an empty list: %v", err)
 	}
 }
@@ -157,22 +157,22 @@
 // The list becomes empty when the answers to two queries in a row are empty. A repeated answer to one query does
 // not count, nor do two with a list between them.
 func TestEmptyListNeedsConfirmation(t *testing.T) {
-	l := newQueriedList(t)
-	if _, err := l.NewQuery(8); err != nil {
+	resolver := newQueriedResolver(t)
+	if _, err := resolver.NewQuery(8); err != nil {
 		t.Fatal(err)
 	}
 	for i, message := range [][]byte{encodeAnswer(t, 7, 9), encodeAnswer(t, 7, 9), encodeAnswer(t, 7, 9)} {
-		if got, err := l.HandleAnswer(message); err == nil {
+		if got, err := resolver.HandleAnswer(message); err == nil {
 			t.Errorf("copy %d: %+v", i, got)
 		}
 	}
-	if got, err := l.HandleAnswer(encodeAnswer(t, 7, 10, listedHost{id: "a"})); err != nil || len(got) != 1 {
+	if got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 10, listedHost{id: "a"})); err != nil || len(got) != 1 {
 		t.Errorf("a list: %+v, %v", got, err)
 	}
-	if got, err := l.HandleAnswer(encodeAnswer(t, 8, 11)); err == nil {
+	if got, err := resolver.HandleAnswer(encodeAnswer(t, 8, 11)); err == nil {
 		t.Errorf("the first since: %+v", got)
 	}
-	got, err := l.HandleAnswer(encodeAnswer(t, 7, 11))
+	got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 11))
 	if err != nil || len(got) != 1 || got[0].Phase != config.PhaseGone {
 		t.Errorf("the second: %+v, %v", got, err)
 	}
@@ -181,9 +181,9 @@
 // Serials may repeat, go back and wrap around; answers may come seconds late and more than once. Only a newer
 // serial changes the list.
 func TestSerials(t *testing.T) {
-	l := newQueriedList(t)
+	resolver := newQueriedResolver(t)
 	for i := range 30 { // as many queries as leave in 4.5 s
-		if _, err := l.NewQuery(uint16(100 + i)); err != nil {
+		if _, err := resolver.NewQuery(uint16(100 + i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -193,16 +193,16 @@
 		isNewer bool
 	}{{3, "b", false}, {2, "b", false}, {4, "b", true}, {4, "c", false}, {3, "d", false}, {1 << 31, "e", true},
 		{1<<32 - 1, "f", true}, {1, "g", true}, {1<<32 - 1, "h", false}} {
-		before := l.Serial()
-		got, err := l.HandleAnswer(encodeAnswer(t, 100, c.serial, listedHost{id: c.id}))
-		if err != nil || (len(got) > 0) != c.isNewer || (l.Serial() != before) != c.isNewer {
+		before := resolver.Serial()
+		got, err := resolver.HandleAnswer(encodeAnswer(t, 100, c.serial, listedHost{id: c.id}))
+		if err != nil || (len(got) > 0) != c.isNewer || (resolver.Serial() != before) != c.isNewer {
 			t.Errorf("serial %d after %d: %+v, %v", c.serial, before, got, err)
 		}
 	}
 }
 
 func TestQuery(t *testing.T) {
-	message, err := newQueriedList(t).NewQuery(9)
+	message, err := newQueriedResolver(t).NewQuery(9)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -10,7 +10,7 @@
 // ServiceName is the DNS name whose SRV records list the endpoints.
 const ServiceName = "_api._tcp.svc.local."
 
-var service = dnsmessage.MustNewName(ServiceName)
+var srvName = dnsmessage.MustNewName(ServiceName)
 
 // maxRecentQueries is how many of the latest queries an answer may belong to: answers may be some seconds late.
 const maxRecentQueries = 32
@@ -49,7 +49,7 @@
 	if err := b.StartQuestions(); err != nil {
 		return nil, err
 	}
-	question := dnsmessage.Question{Name: service, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}
+	question := dnsmessage.Question{Name: srvName, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}
 	if err := b.Question(question); err != nil {
 		return nil, err
 	}
--- a/internal/discovery/records.go
+++ b/internal/discovery/records.go
@@ -20,10 +20,10 @@
 
 // records collects the resource records of an answer.
 type records struct {
-	hasSerial bool
-	serial    uint32 // of the SOA record
-	services  []*dnsmessage.SRVResource
-	hosts     map[string]host // by the lower-case name of the SRV records' target
+	hasSerial  bool
+	serial     uint32 // of the SOA record
+	srvRecords []*dnsmessage.SRVResource
+	hosts      map[string]host // by the lower-case name of the SRV records' target
 }
 
 // A host is what the A and TXT records of one name say.
@@ -42,8 +42,8 @@
 		r.hasSerial = true
 		r.serial = body.Serial
 	case *dnsmessage.SRVResource:
-		if equalNames(resource.Header.Name, service) {
-			r.services = append(r.services, body)
+		if equalNames(resource.Header.Name, srvName) {
+			r.srvRecords = append(r.srvRecords, body)
 		}
 	case *dnsmessage.AResource:
 		h := r.hosts[name]
@@ -80,8 +80,8 @@
 
 // endpoints joins the SRV records with the hosts that they name.
 func (r *records) endpoints() (map[string]config.Endpoint, error) {
-	all := make(map[string]config.Endpoint, len(r.services))
-	for _, srv := range r.services {
+	all := make(map[string]config.Endpoint, len(r.srvRecords))
+	for _, srv := range r.srvRecords {
 		endpoint, err := r.endpoint(srv)
 		if err != nil {
 			return nil, err
