--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// retryInterval is the time between two tries to accept where the system has no resources for a connection.
-	retryInterval = 20 * time.Millisecond
-	// maxQueued bounds the connections that are taken from the queue of the listening socket at the end, where clients
+	// acceptRetryInterval is the time between two tries to accept where the system has no resources for a connection.
+	acceptRetryInterval = 20 * time.Millisecond
+	// maxDrained bounds the connections that are taken from the queue of the listening socket at the end, where clients
 	// connect without a pause.
-	maxQueued = 4096
+	maxDrained = 4096
 )
 
 // errNotTCP is the error of a listening socket that is none of TCP.
@@ -71,7 +71,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			time.Sleep(retryInterval) // the connection stays in the queue
+			time.Sleep(acceptRetryInterval) // the connection stays in the queue
 		}
 	}
 	a.drainQueue(handOver)
@@ -90,8 +90,8 @@
 	if err != nil {
 		return
 	}
-	ignoreNewHandshakes(raw)
-	for range maxQueued {
+	dropNewSYNs(raw)
+	for range maxDrained {
 		conn := acceptQueued(raw)
 		if conn == nil {
 			return
--- a/internal/acceptor/refuse.go
+++ b/internal/acceptor/refuse.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// handshakeTime is how long a handshake whose SYN was taken may still need to reach the queue.
-const handshakeTime = 2 * time.Millisecond
+// pendingHandshakeWait is how long a handshake whose SYN was taken may still need to reach the queue.
+const pendingHandshakeWait = 2 * time.Millisecond
 
 // Of a TCP header: the offset of the byte with the flags, and the flag SYN.
 const (
@@ -22,10 +22,10 @@
 	keepPacket = 0xffffffff
 )
 
-// ignoreNewHandshakes makes a listening socket drop SYNs, while handshakes that have begun go on. Without it a
+// dropNewSYNs makes a listening socket drop SYNs, while handshakes that have begun go on. Without it a
 // connection that comes up between the last look into the queue and the close of the socket is reset. A client whose
 // SYN is dropped repeats it, and is refused. Errors are ignored: the socket is closed in any case.
-func ignoreNewHandshakes(listener syscall.RawConn) {
+func dropNewSYNs(listener syscall.RawConn) {
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
 		{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: tcpFlagSYN, Jt: 0, Jf: 1},
@@ -36,5 +36,5 @@
 	_ = listener.Control(func(listening uintptr) {
 		_ = unix.SetsockoptSockFprog(int(listening), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &filter)
 	})
-	time.Sleep(handshakeTime)
+	time.Sleep(pendingHandshakeWait)
 }
