--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -35,13 +35,13 @@
 
 // A Conn is a buffered connection. The output of one iteration of the loop is written when the iteration ends.
 type Conn struct {
-	socket       gnet.Conn
-	output       []byte
-	unflushedIDs []string // see TrackUntilFlushed
-	state        State
-	isDirty      bool // on the loop's list of connections to flush
-	limitsUnread bool
-	input        inputProgress
+	socket             gnet.Conn
+	output             []byte
+	unflushedIDs       []string // see TrackUntilFlushed
+	state              State
+	isDirty            bool // on the loop's list of connections to flush
+	limitsUnreadOutput bool
+	input              inputProgress
 }
 
 // An inputProgress is what is known of the messages that a connection has brought.
@@ -57,7 +57,7 @@
 }
 
 // LimitUnread sets whether the connection is closed for output that it does not read.
-func (c *Conn) LimitUnread(limit bool) { c.limitsUnread = limit }
+func (c *Conn) LimitUnread(limit bool) { c.limitsUnreadOutput = limit }
 
 // Socket returns the connection's socket.
 func (c *Conn) Socket() gnet.Conn { return c.socket }
--- a/internal/eventloop/idlelist_test.go
+++ b/internal/eventloop/idlelist_test.go
@@ -16,8 +16,8 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		type member struct {
-			conn                *Conn
-			place, overduePlace Element
+			conn                    *Conn
+			element, overdueElement Element
 		}
 		var all, mayOverdue IdleList[*member]
 		var want []*member
@@ -27,20 +27,20 @@
 			switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
 			case action == 0 || len(want) == 0:
 				m := &member{conn: NewConn(nil, now)}
-				m.place, m.overduePlace = all.Add(m), mayOverdue.Add(m)
+				m.element, m.overdueElement = all.Add(m), mayOverdue.Add(m)
 				want = append(want, m)
 			case action == 1:
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
-				all.Remove(&want[i].place)
-				mayOverdue.Remove(&want[i].overduePlace)
-				all.Remove(&want[i].place) // a second time does nothing
+				all.Remove(&want[i].element)
+				mayOverdue.Remove(&want[i].overdueElement)
+				all.Remove(&want[i].element) // a second time does nothing
 				want = slices.Delete(want, i, i+1)
 			default:
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
 				m := want[i]
-				all.Touch(m.place)
+				all.Touch(m.element)
 				m.conn.RecordInput(now, rapid.Bool().Draw(t, "complete"), rapid.Bool().Draw(t, "partial"))
-				mayOverdue.UpdateOverdue(&m.overduePlace, m, m.conn, now)
+				mayOverdue.UpdateOverdue(&m.overdueElement, m, m.conn, now)
 				want = append(slices.Delete(want, i, i+1), m)
 			}
 		}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -201,7 +201,7 @@
 		}
 	}
 	c.unflushedIDs = c.unflushedIDs[:0]
-	if c.limitsUnread && c.state != Closed && c.socket.OutboundBuffered() > l.MaxUnread {
+	if c.limitsUnreadOutput && c.state != Closed && c.socket.OutboundBuffered() > l.MaxUnread {
 		c.state = Closing // bounds the memory that a peer can take which asks and does not read
 	}
 	if cap(c.output) > maxIdleBuffer {
