--- a/internal/call/answer.go
+++ b/internal/call/answer.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// A finalAnswer is what a call that is not established is answered with.
+// A finalAnswer holds the outcome of a call and, if the call is rejected, what its caller is told.
 type finalAnswer struct {
 	outcome    Outcome
-	cause      int           // of Q.850
-	retryAfter time.Duration // how long the caller is asked not to retry; 0: no advice
+	cause      int           // Q.850 cause
+	retryAfter time.Duration // how long the caller is asked to wait before retrying; 0 for no advice
 }
 
-// RejectInvalid rejects a request that can be read but is not possible, without the Decider.
+// RejectInvalid rejects a request that is well-formed but not valid, without asking the Decider.
 func (m *Manager) RejectInvalid(client Client, r Request) {
 	m.rejectUnopened(client, &r, finalAnswer{outcome: RejectedInvalid, cause: CauseTemporaryFailure})
 }
 
-// RejectShuttingDown rejects a request that arrives while the process shuts down, without the Decider.
+// RejectShuttingDown rejects a request that arrives during shutdown, without asking the Decider.
 func (m *Manager) RejectShuttingDown(client Client, r Request) {
 	m.rejectUnopened(client, &r, finalAnswer{outcome: RejectedShuttingDown, cause: CauseNoCircuit})
 }
 
-// RejectOpenCalls rejects all open calls, at the end of an orderly shutdown.
+// RejectOpenCalls rejects all open calls at the end of a graceful shutdown.
 func (m *Manager) RejectOpenCalls() {
 	for _, c := range m.callsWhere((*call).isOpen) {
 		m.Rejected++
@@ -28,8 +28,8 @@
 	}
 }
 
-// shutdownCause returns the cause for a call that is rejected at shutdown. A caller must not be invited
-// to retry a call that may have run and does harm if it runs twice.
+// shutdownCause returns the cause with which a call is rejected at shutdown. CauseNoCircuit allows a retry,
+// so it is not used for a call that may have run and is unsafe to repeat.
 func shutdownCause(c *call) int {
 	if c.mayHaveRun && c.RepeatUnsafe {
 		return CauseTemporaryFailure
@@ -37,7 +37,7 @@
 	return CauseNoCircuit
 }
 
-// CallerDisconnected abandons the open calls of a closed client connection. Established calls go on.
+// CallerDisconnected abandons the open calls of a closed client connection. Established calls stay up.
 func (m *Manager) CallerDisconnected(client Client) {
 	isAffected := func(c *call) bool { return c.client == client && c.isOpen() }
 	for _, c := range m.callsWhere(isAffected) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// abandonCall ends an open call whose caller waits no longer; no answer is owed.
+// abandonCall ends an open call whose caller no longer waits for an answer.
 func (m *Manager) abandonCall(c *call) {
 	m.Abandoned++
 	m.reportAbandoned(c)
@@ -54,14 +54,13 @@
 	m.notifyAnswered(c, finalAnswer{outcome: Abandoned})
 }
 
-// rejectUnopened rejects a request that is not opened as a call.
+// rejectUnopened rejects a request for which no call was opened.
 func (m *Manager) rejectUnopened(client Client, r *Request, answer finalAnswer) {
 	m.notifyRejectedUnopened(r, answer)
 	client.CallRejected(r.ID, answer.cause, 0)
 }
 
-// rejectCall ends an open call and rejects it. If an attempt is in progress, it is canceled for the
-// reason end.
+// rejectCall ends an open call and rejects it. An attempt in progress is canceled with the given end.
 func (m *Manager) rejectCall(c *call, end AttemptEnd, answer finalAnswer) {
 	m.endOpenCall(c, end)
 	m.answerRejected(c, answer)
@@ -73,8 +72,8 @@
 	c.client.CallRejected(c.ID, answer.cause, answer.retryAfter)
 }
 
-// endOpenCall ends an open call without answering it. If an attempt is in progress, it is canceled for
-// the reason end.
+// endOpenCall ends an open call without answering it. An attempt in progress is canceled with the given
+// end.
 func (m *Manager) endOpenCall(c *call, end AttemptEnd) {
 	wasAttempting := c.state == callAttempting
 	m.removeCall(c)
@@ -84,7 +83,7 @@
 	}
 }
 
-// releaseOpenSlot removes a call from those whose final answer is owed.
+// releaseOpenSlot frees what an open call occupies of the Limits: its slot and its session description.
 func (m *Manager) releaseOpenSlot(c *call) {
 	m.openCalls--
 	m.descriptionBytes -= len(c.Description)
--- a/internal/call/attempt.go
+++ b/internal/call/attempt.go
@@ -2,7 +2,7 @@
 
 import "olivedale/internal/admission"
 
-// apply carries out a decision on a call. A decision that does not fit the state of the call is ignored.
+// apply executes a decision on a call. A decision that is not valid in the state of the call is ignored.
 func (m *Manager) apply(c *call, d admission.Decision) {
 	m.notifyDecided(&d)
 	switch d.Kind {
@@ -31,8 +31,8 @@
 	}
 }
 
-// startAttempt sends the setup of a waiting call to the server of a decision. A call whose deadline has
-// passed fails instead, or a Decider that always sends would never end.
+// startAttempt sends the setup of a waiting call to the server chosen by a decision. If the deadline of
+// the call has passed, the call fails instead: a Decider that always sends would otherwise loop forever.
 func (m *Manager) startAttempt(c *call, d admission.Decision) {
 	now := m.now()
 	if now >= c.Deadline {
@@ -59,8 +59,8 @@
 	m.backends.Invite(d.Server, s)
 }
 
-// AttemptAnswered takes a backend's answer that establishes a call. An answer to an attempt that is not
-// in progress any more is released at the backend; a repeated answer is ignored.
+// AttemptAnswered handles a backend's answer that establishes a call. If the attempt is no longer in
+// progress, the call is released at the backend; a repeated answer is ignored.
 func (m *Manager) AttemptAnswered(server, id string, attempt int, description []byte) {
 	c := m.calls[id]
 	switch {
@@ -69,14 +69,14 @@
 	case c != nil && c.state == callEstablished && c.isLatestAttempt(server, attempt):
 		return
 	default:
-		// The answer crossed the cancellation: the backend must not keep the circuit, and the caller
-		// must not get a second answer.
+		// The answer crossed the cancellation: the backend must free the circuit, and the caller must
+		// not get a second answer.
 		m.LateAnswers++
 		m.backends.Release(server, id, attempt, CauseNormal)
 	}
 }
 
-// establish answers a call whose attempt succeeded.
+// establish answers a call whose attempt has succeeded.
 func (m *Manager) establish(c *call, description []byte) {
 	now := m.now()
 	c.transition(callEstablished)
@@ -95,21 +95,21 @@
 	m.releaseOpenSlot(c)
 }
 
-// AttemptEnded takes the end of an attempt that did not establish its call. It does nothing if the
-// attempt is not in progress any more.
+// AttemptEnded handles the end of an attempt that did not establish its call. It does nothing if the
+// attempt is no longer in progress.
 func (m *Manager) AttemptEnded(server, id string, attempt int, e AttemptEnd) {
 	if c := m.calls[id]; c != nil && c.isAttempting(server, attempt) {
 		m.endAttempt(c, e)
 	}
 }
 
-// cancelAttempt cancels the attempt in progress and asks the Decider how the call goes on.
+// cancelAttempt cancels the attempt in progress and applies the Decider's next decision.
 func (m *Manager) cancelAttempt(c *call, end AttemptEnd) {
 	m.endAttempt(c, m.cancelAtBackend(c, end))
 }
 
-// cancelAtBackend cancels the latest attempt at its backend and returns how the attempt has ended:
-// NotSent if its setup had not been written, end otherwise.
+// cancelAtBackend cancels the latest attempt at its backend and returns how the attempt ended: NotSent if
+// its setup had not been written, end otherwise.
 func (m *Manager) cancelAtBackend(c *call, end AttemptEnd) AttemptEnd {
 	m.Cancels++
 	if m.backends.Cancel(c.attempt.server, c.ID, c.attempt.number) {
@@ -118,14 +118,14 @@
 	return end
 }
 
-// endAttempt ends the attempt in progress and asks the Decider how the call goes on.
+// endAttempt ends the attempt in progress and applies the Decider's next decision.
 func (m *Manager) endAttempt(c *call, end AttemptEnd) {
 	c.transition(callWaiting)
 	m.apply(c, m.reportAttemptEnd(c, end))
 }
 
 // reportAttemptEnd reports the end of the latest attempt to the observer and the Decider and returns the
-// decision on the call. If the call has ended with the attempt, the decision is to be ignored.
+// next decision on the call. Callers must ignore the decision if the call has ended with the attempt.
 func (m *Manager) reportAttemptEnd(c *call, end AttemptEnd) admission.Decision {
 	m.Ends[end]++
 	result, cause := end.admissionResult()
@@ -147,7 +147,7 @@
 	})
 }
 
-// reportAbandoned reports to the Decider that a caller waits no longer, if the Decider knows the call.
+// reportAbandoned reports to the Decider that a call was abandoned, if the call was passed to the Decider.
 func (m *Manager) reportAbandoned(c *call) {
 	if c.state == callRouting {
 		return
--- a/internal/call/attemptend.go
+++ b/internal/call/attemptend.go
@@ -2,12 +2,11 @@
 
 import "olivedale/internal/admission"
 
-// An AttemptEnd is the way in which an attempt ended, including the ways in which the connection that
-// carried it can end. This list is complete.
+// An AttemptEnd is the way in which an attempt ended, including failures of the connection that carried it.
 type AttemptEnd int
 
-// The ends of attempts. NoCircuit, ProcessorBusy, NotForwarded, NotSent and the dial errors prove that
-// the call has not run.
+// All ways in which an attempt can end. NoCircuit, ProcessorBusy, NotForwarded, NotSent and the dial errors
+// prove that the call has not run.
 const (
 	Completed        AttemptEnd = iota // released with normal clearing after it was established
 	EndedByFault                       // released by the backend with another cause after it was established
@@ -19,22 +18,22 @@
 	FailedInTransit                    // the backend reports that the setup failed after it was forwarded
 	NotSent                            // canceled before the first byte of the setup was written
 	DialRefused                        // the backend's address refused the connection
-	DialTimedOut                       // the connection was not established in time
-	DialFailed                         // the connection could not be established for another reason
+	DialTimedOut                       // connecting to the backend timed out
+	DialFailed                         // connecting to the backend failed for another reason
 	ConnectionReset                    // the connection was reset after the setup was written
 	ConnectionClosed                   // the backend closed the connection
-	Unresponsive                       // the connection stayed open and carried nothing, or a partial message
+	Unresponsive                       // the connection stayed open, but nothing or only part of a message arrived
 	Malformed                          // a message could not be parsed; the connection was closed
 	TimedOut                           // no answer before the deadline
 	Canceled                           // canceled by the Decider
-	CallerReleased                     // abandoned or released by the caller
-	BackendLost                        // the backend was removed, or has restarted without its calls
-	ShuttingDown                       // this process shuts down
+	CallerReleased                     // the call was abandoned or released by the caller
+	BackendLost                        // the backend was removed or is unreachable, or has restarted and lost its calls
+	ShuttingDown                       // this process is shutting down
 	attemptEndCount
 )
 
-// attemptEndNames are the names of the ends in logs, metrics and records. They are interfaces: the
-// constants were renamed, the names were not.
+// attemptEndNames are the names of the ends in logs, metrics and records. They are external interfaces and
+// must not change; some differ from the names of the constants, which were renamed.
 var attemptEndNames = [attemptEndCount]string{
 	Completed:        "completed",
 	EndedByFault:     "cut",
@@ -59,7 +58,7 @@
 	ShuttingDown:     "stopped",
 }
 
-// String returns the name of the end in logs, metrics and records, "unknown" for a value that is none.
+// String returns the name of the end in logs, metrics and records, or "unknown" for an undefined value.
 func (e AttemptEnd) String() string {
 	if e < 0 || e >= attemptEndCount {
 		return "unknown"
@@ -67,7 +66,7 @@
 	return attemptEndNames[e]
 }
 
-// AllAttemptEnds returns every AttemptEnd in the order of their values.
+// AllAttemptEnds returns all defined values of AttemptEnd in ascending order.
 func AllAttemptEnds() []AttemptEnd {
 	all := make([]AttemptEnd, attemptEndCount)
 	for i := range all {
@@ -76,9 +75,9 @@
 	return all
 }
 
-// admissionResult is the one place that maps an AttemptEnd to the result that is reported to the
-// Decider. An attempt that may have run must not map to a result that proves the opposite, or the
-// Decider would send the call again without waiting for its retry guard.
+// admissionResult returns the result and the cause that are reported to the Decider; no other code maps
+// them. An attempt that may have run must not map to a result that proves the opposite, or the Decider
+// would send the call again without waiting for its retry guard.
 func (e AttemptEnd) admissionResult() (admission.AttemptResult, admission.FailureCause) {
 	switch e {
 	case Completed:
@@ -103,7 +102,7 @@
 		return admission.ResultConnectionLost, admission.CauseConnectionUnresponsive
 	case EndedByFault, FailedInTransit, ConnectionReset, ConnectionClosed, Malformed, BackendLost:
 		return admission.ResultConnectionLost, admission.CauseNone
-	default: // an unknown end may have run
+	default: // after an undefined end the call may have run
 		return admission.ResultConnectionLost, admission.CauseNone
 	}
 }
--- a/internal/call/completed.go
+++ b/internal/call/completed.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// completedCallRetention is how long the ids of completed calls are remembered. It covers releases that
-// cross each other or are repeated.
+// completedCallRetention is how long the ids of completed calls are kept, to recognize releases that cross
+// each other or are repeated.
 const completedCallRetention = 30 * time.Second
 
-// expiringIDs is a set of ids that are forgotten at set times. It holds a bounded number of entries: if
-// it is full, the oldest is forgotten early. Ids must be added in the order of their expiry.
+// expiringIDs is a set of ids with expiry times. It holds a bounded number of entries: if it is full, the
+// oldest entry is removed early. Ids must be added in the order of their expiry.
 type expiringIDs struct {
-	entries    map[string]int // number of entries of queue with this id
-	queue      []expiringID   // in the order they were added; those before head are forgotten
+	entries    map[string]int // number of entries of queue per id
+	queue      []expiringID   // in the order of addition; entries before head have been removed
 	head       int
 	maxEntries int
 }
@@ -25,10 +25,11 @@
 	return &expiringIDs{entries: make(map[string]int), maxEntries: maxEntries}
 }
 
-// contains reports whether an id is in the set.
+// contains reports whether the set contains an id.
 func (s *expiringIDs) contains(id string) bool { return s.entries[id] > 0 }
 
-// add adds an id until a time. An id that is in the set already is kept until the later time.
+// add adds an id that expires at the given time. If the set already contains the id, the later expiry
+// applies.
 func (s *expiringIDs) add(id string, expiresAt Time) {
 	queued := len(s.queue) - s.head
 	if queued > 0 && queued >= s.maxEntries {
@@ -38,7 +39,7 @@
 	s.queue = append(s.queue, expiringID{id: id, expiresAt: expiresAt})
 }
 
-// removeOldest removes the oldest entry, and compacts the queue when more than half of it is unused.
+// removeOldest removes the oldest entry and compacts the queue when more than half of it is unused.
 func (s *expiringIDs) removeOldest() {
 	oldest := &s.queue[s.head]
 	s.entries[oldest.id]--
@@ -53,7 +54,7 @@
 	}
 }
 
-// removeExpired removes the ids that have expired before now.
+// removeExpired removes the entries that expired before now.
 func (s *expiringIDs) removeExpired(now Time) {
 	for s.head < len(s.queue) && s.queue[s.head].expiresAt < now {
 		s.removeOldest()
--- a/internal/call/deadlines.go
+++ b/internal/call/deadlines.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// Tick cancels the attempts and answers the calls whose deadlines have passed, and carries out the
-// decisions that the Decider has by now.
+// Tick cancels the attempts whose deadlines have passed, applies the decisions of the Decider that are due
+// and then fails the calls whose deadlines have passed.
 func (m *Manager) Tick() {
 	now := m.now()
 	overdue := m.expireDeadlines(now)
@@ -12,7 +12,8 @@
 			m.apply(c, d)
 		}
 	}
-	// Decisions come first: a decision on an overdue call may ask its caller not to retry for a while.
+	// Decisions are applied first, because a decision on an overdue call may carry a retry delay for its
+	// caller.
 	for _, c := range overdue {
 		if c.awaitsAttempt() {
 			m.reportAbandoned(c)
@@ -31,8 +32,8 @@
 	return m.decider.NextDeadline()
 }
 
-// expireDeadlines cancels the attempts whose deadlines have passed. It returns the calls without an
-// attempt whose own deadlines have passed; a call may be listed more than once.
+// expireDeadlines cancels the attempts whose deadlines have passed. It returns the overdue calls that have
+// no attempt in progress; a call may be listed more than once.
 func (m *Manager) expireDeadlines(now Time) (overdue []*call) {
 	for len(m.deadlines) > 0 && m.deadlines[0].at <= now {
 		d := m.deadlines.popEarliest()
@@ -47,27 +48,28 @@
 	return overdue
 }
 
-// scheduleDeadline schedules the check of a call without an attempt for the time of its deadline. The
-// call is then answered even if its lookup never ends or the Decider has lost it.
+// scheduleDeadline schedules a check at the deadline of a call without an attempt in progress, so that the
+// call is answered even if its number lookup never completes or the Decider never returns a decision.
 func (m *Manager) scheduleDeadline(c *call) {
 	m.deadlines.schedule(deadline{at: c.Deadline, call: c, attempt: c.attempt.number})
 }
 
-// failExpired answers a call whose deadline has passed.
+// failExpired rejects a call whose deadline has passed.
 func (m *Manager) failExpired(c *call) {
 	m.Failed++
 	m.rejectCall(c, TimedOut, finalAnswer{outcome: Failed, cause: CauseTemporaryFailure})
 }
 
-// A deadline is the time at which an attempt, or a call without an attempt, is checked. It is not
-// removed when the attempt ends earlier; it then has no effect.
+// A deadline is the time at which an attempt, or a call without an attempt in progress, is checked. If the
+// attempt ends earlier, the deadline stays in the heap and has no effect.
 type deadline struct {
 	at      Time
 	call    *call
 	attempt int // the latest attempt of the call when the deadline was scheduled
 }
 
-// A deadlineHeap holds deadlines, the earliest first. It implements heap.Interface; use schedule and next.
+// A deadlineHeap is a heap of deadlines, the earliest first. Use schedule and popEarliest; the exported
+// methods implement heap.Interface.
 type deadlineHeap []deadline
 
 func (h *deadlineHeap) schedule(d deadline) { heap.Push(h, d) }
--- a/internal/call/manager.go
+++ b/internal/call/manager.go
@@ -11,16 +11,16 @@
 // Create one with NewManager. The Counters are updated as events happen.
 type Manager struct {
 	decider  Decider
-	observer Observer // nil: none
-	router   Router   // nil: calls go by their preferred pool
+	observer Observer // may be nil
+	router   Router   // if nil, calls use their preferred pool
 	backends Backends
 	now      func() Time
 	limits   Limits
 
 	calls            map[string]*call
-	openCalls        int            // calls whose final answer is owed
-	establishedCalls map[string]int // by server; without those that have none
-	descriptionBytes int            // total size of their descriptions
+	openCalls        int            // calls without a final answer
+	establishedCalls map[string]int // by server; only servers with calls
+	descriptionBytes int            // total size of the open calls' descriptions
 	deadlines        deadlineHeap
 	completedCalls   *expiringIDs
 	unknownReleases  unknownReleases
@@ -28,7 +28,7 @@
 	Counters
 }
 
-// NewManager returns a Manager without calls that reads the time from now.
+// NewManager returns a Manager without calls that uses now as its clock.
 func NewManager(decider Decider, backends Backends, now func() Time, limits Limits) *Manager {
 	return &Manager{
 		decider:          decider,
@@ -45,22 +45,22 @@
 // SetObserver sets the observer of all later events; nil removes it.
 func (m *Manager) SetObserver(o Observer) { m.observer = o }
 
-// SetRouter sets the router of calls offered later; nil removes it.
+// SetRouter sets the router for calls offered from now on; nil removes it.
 func (m *Manager) SetRouter(r Router) { m.router = r }
 
-// OpenCalls returns the number of calls whose final answer is owed.
+// OpenCalls returns the number of calls without a final answer.
 func (m *Manager) OpenCalls() int { return m.openCalls }
 
 // EstablishedCalls returns the number of established calls.
 func (m *Manager) EstablishedCalls() int { return len(m.calls) - m.openCalls }
 
-// EstablishedAt returns the number of calls that are established at a server.
+// EstablishedAt returns the number of calls established at a server.
 func (m *Manager) EstablishedAt(server string) int { return m.establishedCalls[server] }
 
 // Contains reports whether a call is open or established.
 func (m *Manager) Contains(id string) bool { return m.calls[id] != nil }
 
-// BackendOf returns the server of an established call, "" if the call is not established.
+// BackendOf returns the server of an established call, or "" if the call is not established.
 func (m *Manager) BackendOf(id string) string {
 	if c := m.calls[id]; c != nil && c.state == callEstablished {
 		return c.attempt.server
@@ -68,7 +68,7 @@
 	return ""
 }
 
-// UpdateServers passes the list of servers to the Decider: the complete list if full, the changed ones
+// UpdateServers passes the complete list of servers to the Decider if full is set, the changed servers
 // otherwise.
 func (m *Manager) UpdateServers(servers []admission.Server, full bool) {
 	m.decider.UpdateServers(m.now(), servers, full)
@@ -79,8 +79,8 @@
 	m.decider.Report(m.now(), admission.AttemptReport{Server: server, Kind: admission.ReportLoad, Load: load})
 }
 
-// callsWhere returns the calls that satisfy a condition in the order of their offers. The fixed order
-// makes runs in virtual time reproducible.
+// callsWhere returns the calls that satisfy a condition in the order of their offers. The defined order
+// makes simulations in virtual time reproducible.
 func (m *Manager) callsWhere(condition func(*call) bool) []*call {
 	var selected []*call
 	for _, c := range m.calls {
@@ -94,7 +94,7 @@
 	return selected
 }
 
-// removeCall removes an ended call and remembers its id.
+// removeCall ends a call, closes its route and adds its id to the completed calls.
 func (m *Manager) removeCall(c *call) {
 	delete(m.calls, c.ID)
 	c.releaseRoute()
--- a/internal/call/notify.go
+++ b/internal/call/notify.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// notifyRejectedUnopened reports a request that is rejected without being opened as a call.
+// notifyRejectedUnopened reports a request that is rejected before a call is opened.
 func (m *Manager) notifyRejectedUnopened(r *Request, answer finalAnswer) {
 	if m.observer == nil {
 		return
--- a/internal/call/offer.go
+++ b/internal/call/offer.go
@@ -2,9 +2,9 @@
 
 import "olivedale/internal/admission"
 
-// Offer takes a call from a caller; its final answer goes to client, possibly before Offer returns. If
-// the id belongs to a call that is established, that client has offered before, or that was offered with
-// other content, Offer returns ErrReused, gives no answer and leaves that call as it is.
+// Offer accepts a call from a caller. The final answer goes to client, possibly before Offer returns. If
+// the id belongs to a call that is established, was offered by the same client or has different content,
+// Offer returns ErrIDInUse, gives no answer and leaves that call unchanged.
 func (m *Manager) Offer(client Client, r Request) error {
 	m.Requests++
 	if c := m.calls[r.ID]; c != nil {
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// mergeOffer takes an offer under the id of an existing call. An offer that crossed the close of its
-// connection is repeated on another one: the call is answered there and not started a second time.
+// mergeOffer handles an offer with the id of an existing call. A caller whose connection is closed before
+// the answer repeats its offer on another connection: the call is answered there and not started again.
 func (m *Manager) mergeOffer(c *call, client Client, r *Request) error {
 	isRepeat := c.isOpen() && c.client != client && c.matches(r)
 	if !isRepeat {
@@ -40,16 +40,16 @@
 	return nil
 }
 
-// screenOffer returns the answer to an offer that is rejected without being opened, and whether it is.
+// screenOffer checks an offer before a call is opened. If the offer is rejected, it returns the answer.
 func (m *Manager) screenOffer(r *Request) (answer finalAnswer, rejected bool) {
 	switch {
 	case m.completedCalls.contains(r.ID):
-		// The call may have run, and an attempt of it may just have been canceled: it must neither be
-		// sent again nor reach the Decider.
+		// The call may have run, and one of its attempts may just have been canceled: it must be neither
+		// sent again nor passed to the Decider.
 		m.ReusedIDs++
 		return finalAnswer{outcome: RejectedReusedID, cause: CauseTemporaryFailure}, true
 	case m.unknownReleases.ids.contains(r.ID):
-		// The caller has abandoned the call on another connection, whose message was read first.
+		// The caller abandoned the call on another connection, and the release was read first.
 		m.Abandoned++
 		return finalAnswer{outcome: Abandoned, cause: CauseTemporaryFailure}, true
 	case m.exceedsLimits(r):
@@ -59,14 +59,14 @@
 	return finalAnswer{}, false
 }
 
-// exceedsLimits reports whether there is no memory for another open call.
+// exceedsLimits reports whether opening the call would exceed the Limits.
 func (m *Manager) exceedsLimits(r *Request) bool {
 	return m.openCalls >= m.limits.OpenCalls ||
 		m.descriptionBytes+len(r.Description) > m.limits.DescriptionBytes
 }
 
-// routeOffer asks the Router, if there is one, for the route of a call that is not opened yet. It reports
-// false if the Router rejects the call.
+// routeOffer asks the Router, if there is one, for the route of a call that has not been opened yet. It
+// reports false if the Router rejects the call.
 func (m *Manager) routeOffer(c *call, r *Request) (accepted bool) {
 	if m.router == nil {
 		return true
@@ -81,7 +81,7 @@
 	return true
 }
 
-// openCall takes ownership of a call and places it unless its number is still looked up.
+// openCall takes ownership of a call and places it unless its number lookup is pending.
 func (m *Manager) openCall(c *call, r *Request) {
 	m.calls[c.ID] = c
 	m.openCalls++
@@ -113,8 +113,8 @@
 	}))
 }
 
-// RouteResolved takes the decision on a call whose Route was Pending. It does nothing if the call has
-// ended or the decision was taken before. The Release and Table of the first Route stay in force; those
+// RouteResolved applies the result of the number lookup of a call whose Route was Pending. It does nothing
+// if the call has ended or was resolved before. The Close and Table of the first Route remain in use; those
 // of r are ignored.
 func (m *Manager) RouteResolved(id string, r Route) {
 	c := m.calls[id]
--- a/internal/call/release.go
+++ b/internal/call/release.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ReleaseByCaller takes a release from a caller, on any connection. It ends an established call,
-// abandons an open one, and forwards the release of an unknown call to all backends, at most 256 a
-// second. It reports whether the call was established as far as is known: true for an established call
-// and for a release of an unknown call that is no repetition.
+// ReleaseByCaller handles a release from a caller on any connection. It ends an established call, abandons
+// an open one, and forwards the release of an unknown call to all backends, at most 256 per second. It
+// reports whether the call was established, as far as is known: it returns true for an established call
+// and for the first release of an unknown call.
 func (m *Manager) ReleaseByCaller(id string, cause int) (established bool) {
 	c := m.calls[id]
 	switch {
@@ -23,8 +23,8 @@
 }
 
 // releaseUnknownAtBackends forwards a caller's release of an unknown call, which may have been
-// established before a restart. It reports false if the release is a repetition. The rate is limited, or
-// callers who make up ids would load the backends.
+// established before a restart. It reports false if the release is a repetition. The rate is limited so
+// that callers that send invented ids cannot overload the backends.
 func (m *Manager) releaseUnknownAtBackends(id string, cause int) bool {
 	if m.isCompleted(id) {
 		return false
@@ -39,9 +39,9 @@
 	return true
 }
 
-// BackendReleased takes a backend's release of a call, and notifies the caller. The release of an
-// unknown call, which may have been established before a restart, is forwarded to the given frontends.
-// A repeated release, or one of an earlier attempt at another server, is ignored.
+// BackendReleased handles a backend's release of a call and notifies the caller. The release of an unknown
+// call, which may have been established before a restart, is forwarded to the given frontends. A repeated
+// release is ignored, and so is the release of an earlier attempt at another server.
 func (m *Manager) BackendReleased(server, id string, cause int, frontends ...Frontend) {
 	c := m.calls[id]
 	switch {
@@ -58,8 +58,8 @@
 		m.endEstablished(c, end, cause)
 		c.frontend.NotifyRelease(c.client, id, cause)
 	case c.state == callAttempting:
-		// The release may be that of an earlier attempt at this server, whose answer was lost. The
-		// attempt in progress is canceled, or the next one would run beside it.
+		// The release may belong to an earlier attempt at this server whose answer was lost. The attempt in
+		// progress must be canceled, or the next one would run concurrently with it.
 		m.cancelAtBackend(c, FailedInTransit)
 		m.endAttempt(c, FailedInTransit)
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// BackendRestarted drops the calls that were established at a server before a time and returns their
-// ids. Its process has ended since, so it sends no releases for them.
+// BackendRestarted drops the calls that were established at a server before the given time and returns
+// their ids. The server process that ran them has ended and sends no releases for them.
 func (m *Manager) BackendRestarted(server string, before Time) (dropped []string) {
 	for _, c := range m.establishedAt(server, before) {
 		m.dropEstablished(c)
@@ -86,8 +86,8 @@
 	return dropped
 }
 
-// BackendLost drops all calls established at a server that is not used any more or cannot be reached, and
-// returns their ids. They are released at the server as well, because it may still run.
+// BackendLost drops all calls established at a server that was removed or is unreachable, and returns their
+// ids. They are also released at the server, because it may still be running.
 func (m *Manager) BackendLost(server string) (dropped []string) {
 	for _, c := range m.establishedAt(server, m.now()+1) {
 		m.backends.Release(server, c.ID, c.attempt.number, CauseTemporaryFailure)
@@ -97,7 +97,7 @@
 	return dropped
 }
 
-// establishedAt returns the calls that were established at a server before a time.
+// establishedAt returns the calls that were established at a server before the given time.
 func (m *Manager) establishedAt(server string, before Time) []*call {
 	return m.callsWhere(func(c *call) bool {
 		return c.attempt.server == server && c.state == callEstablished && c.establishedAt < before
@@ -110,7 +110,7 @@
 	c.frontend.NotifyRelease(c.client, c.ID, CauseTemporaryFailure)
 }
 
-// endEstablished ends an established call; it releases the call at neither side.
+// endEstablished ends an established call without sending a release to either side.
 func (m *Manager) endEstablished(c *call, end AttemptEnd, cause int) {
 	m.notifyReleased(c, end, cause)
 	m.countEstablishedEnd(c.attempt.server)
@@ -118,7 +118,8 @@
 	m.reportAttemptEnd(c, end)
 }
 
-// countEstablishedEnd counts an established call less. A server without any is forgotten.
+// countEstablishedEnd decrements the number of calls established at a server and removes an entry that
+// reaches 0.
 func (m *Manager) countEstablishedEnd(server string) {
 	m.establishedCalls[server]--
 	if m.establishedCalls[server] == 0 {
@@ -126,24 +127,24 @@
 	}
 }
 
-// isCompleted reports whether a call is known to have ended. The releases of the two sides may cross,
-// and either side may repeat its own on another connection.
+// isCompleted reports whether a call is known to have ended. The releases of both sides may cross, and
+// either side may repeat its release on another connection.
 func (m *Manager) isCompleted(id string) bool {
 	return m.completedCalls.contains(id) || m.unknownReleases.ids.contains(id)
 }
 
-// recordUnknownRelease counts and remembers the release of an unknown call.
+// recordUnknownRelease counts the release of an unknown call and keeps its id.
 func (m *Manager) recordUnknownRelease(id string) {
 	m.ReleasedUnknown++
 	m.unknownReleases.ids.add(id, m.now()+completedCallRetention)
 }
 
-// maxUnknownReleasesPerSecond bounds the callers' releases of unknown calls that are forwarded to the
-// backends. After a restart of this process during an outage all of its calls may be released at once.
+// maxUnknownReleasesPerSecond limits the callers' releases of unknown calls that are forwarded to the
+// backends. After a restart of this process during an outage, all of its calls may be released at once.
 const maxUnknownReleasesPerSecond = 256
 
-// unknownReleases remembers the released calls that were never known to this process and limits the rate
-// of such releases by callers.
+// unknownReleases holds the ids of released calls that this process has not known, and limits the rate of
+// such releases by callers.
 type unknownReleases struct {
 	ids         *expiringIDs
 	windowStart Time
--- a/internal/call/state.go
+++ b/internal/call/state.go
@@ -7,15 +7,15 @@
 
 // The states of a call. A call starts in callRouting.
 const (
-	callRouting     callState = iota // its number is looked up; the Decider does not know the call
-	callWaiting                      // the Decider knows the call; no attempt is in progress
+	callRouting     callState = iota // the number is being looked up; the call has not been passed to the Decider
+	callWaiting                      // the call was passed to the Decider; no attempt is in progress
 	callAttempting                   // one attempt is in progress
 	callEstablished                  // a backend has accepted the call
-	callEnded                        // the Manager does not own the call any more
+	callEnded                        // the Manager no longer owns the call
 	callStateCount
 )
 
-// callTransitions lists the permitted transitions, by the state they start from.
+// callTransitions lists the permitted transitions by their initial state.
 var callTransitions = [callStateCount][callStateCount]bool{
 	callRouting:     {callWaiting: true, callEnded: true},
 	callWaiting:     {callAttempting: true, callEnded: true},
@@ -42,25 +42,25 @@
 
 // A call is owned by the Manager from its offer until it ends.
 type call struct {
-	Request       // its Description is dropped once the call is answered
+	Request       // the Description is cleared when the call is answered
 	client        Client
 	frontend      Frontend
 	offeredAt     Time
 	route         Route
 	state         callState
-	attempt       attempt // the latest one
-	mayHaveRun    bool    // an ended attempt may have run at its backend
+	attempt       attempt // the latest attempt
+	mayHaveRun    bool    // one of the ended attempts may have run at its backend
 	establishedAt Time
 }
 
-// An attempt is one setup of a call at a backend.
+// An attempt is one attempt to set up a call at a backend.
 type attempt struct {
 	server    string // "" before the first attempt
-	number    int    // from 0; noAttempt before the first attempt
+	number    int    // starts at 0; noAttempt before the first attempt
 	startedAt Time
 }
 
-// noAttempt is the number of the attempt before the first.
+// noAttempt is the attempt number of a call without attempts.
 const noAttempt = -1
 
 func newCall(client Client, r *Request, now Time) *call {
@@ -73,9 +73,9 @@
 	}
 }
 
-// transition changes the state of the call. It is the only place that does. A transition that
-// callTransitions does not permit is a defect of this package: tests fail on it, but a running
-// controller goes on with its other calls.
+// transition changes the state of the call; all state changes go through it. A transition that
+// callTransitions does not permit is a bug in this package: tests fail on it, but a controller in
+// production continues to serve its other calls.
 func (c *call) transition(to callState) {
 	if !callTransitions[c.state][to] {
 		reportInvalidTransition(c, to)
@@ -83,13 +83,13 @@
 	c.state = to
 }
 
-// reportInvalidTransition is called for a transition that is not permitted. Tests replace it.
+// reportInvalidTransition is called for a transition that is not permitted. Tests override it.
 var reportInvalidTransition = func(*call, callState) {}
 
-// isOpen reports whether the final answer of the call is owed.
+// isOpen reports whether the call has not had its final answer yet.
 func (c *call) isOpen() bool { return c.state != callEstablished && c.state != callEnded }
 
-// awaitsAttempt reports whether the call is open and has no attempt in progress.
+// awaitsAttempt reports whether the call is open without an attempt in progress.
 func (c *call) awaitsAttempt() bool { return c.state == callRouting || c.state == callWaiting }
 
 // isAttempting reports whether the given attempt of the call is in progress.
@@ -97,12 +97,12 @@
 	return c.state == callAttempting && c.isLatestAttempt(server, attempt)
 }
 
-// isLatestAttempt reports whether the given attempt is the last one that was started.
+// isLatestAttempt reports whether the given attempt is the latest one.
 func (c *call) isLatestAttempt(server string, attempt int) bool {
 	return c.attempt.server == server && c.attempt.number == attempt
 }
 
-// matches reports whether a repeated offer asks for the same as the first one.
+// matches reports whether an offer with the id of the call has the same content as its first offer.
 func (c *call) matches(r *Request) bool {
 	return c.Class == r.Class &&
 		c.Number == r.Number &&
@@ -111,7 +111,7 @@
 		bytes.Equal(c.Description, r.Description)
 }
 
-// releaseRoute releases what the route of the call holds.
+// releaseRoute closes the route of the call, at most once.
 func (c *call) releaseRoute() {
 	if c.route.Close != nil {
 		c.route.Close()
