--- a/internal/call/attemptend_test.go
+++ b/internal/call/attemptend_test.go
@@ -6,7 +6,7 @@
 	"olivedale/internal/admission"
 )
 
-// Only ends that prove that nothing ran may lead to a retry without the retry guard.
+// Only an end that proves that the call has not run may lead to a retry that bypasses the retry guard.
 func TestEndsThatProveThatNothingRan(t *testing.T) {
 	wantProof := map[AttemptEnd]bool{
 		NoCircuit:     true,
@@ -21,7 +21,7 @@
 		result, _ := e.admissionResult()
 		isProof := result == admission.ResultServerBusy || result == admission.ResultDialFailed || result == admission.ResultNotSent
 		if isProof != wantProof[e] {
-			t.Errorf("%v: reported as proof: %v", e, isProof)
+			t.Errorf("%v is reported as a proof that the call has not run: %v", e, isProof)
 		}
 		if e.String() == "" {
 			t.Errorf("end %d has no name", e)
@@ -29,7 +29,7 @@
 	}
 }
 
-// The names of the ends are stored in records and read from logs and metrics, so they must not change.
+// The names of the ends are stored in records and used in logs and metrics, so they must not change.
 func TestAttemptEndNamesAreStable(t *testing.T) {
 	want := []string{
 		"completed", "cut", "callee_busy", "fault", "no_circuit", "processor_full", "never_left",
@@ -39,7 +39,7 @@
 	}
 	all := AllAttemptEnds()
 	if len(all) != len(want) {
-		t.Fatalf("%d ends, want %d", len(all), len(want))
+		t.Fatalf("got %d attempt ends, want %d", len(all), len(want))
 	}
 	for i, e := range all {
 		if e.String() != want[i] {
--- a/internal/call/fixture_test.go
+++ b/internal/call/fixture_test.go
@@ -8,10 +8,10 @@
 	"olivedale/internal/admission"
 )
 
-// A scriptedDecider returns the decisions that a test has listed, and records what is reported to it.
+// A scriptedDecider returns predefined decisions and records the reports that it receives.
 type scriptedDecider struct {
-	decisions     []admission.Decision // of Place and of reports of ended attempts, in turn
-	tickDecisions []admission.Decision // of the next Tick
+	decisions     []admission.Decision // returned in order by Place and by Report for ended attempts
+	tickDecisions []admission.Decision // returned by the next Tick
 	placed        []admission.Request
 	reports       []admission.AttemptReport
 }
@@ -48,10 +48,10 @@
 func (d *scriptedDecider) NextDeadline() Time                           { return 1 << 62 }
 func (d *scriptedDecider) UpdateServers(Time, []admission.Server, bool) {}
 
-// lastReport returns the last report to the Decider.
+// lastReport returns the latest report to the Decider.
 func (d *scriptedDecider) lastReport() admission.AttemptReport { return d.reports[len(d.reports)-1] }
 
-// A recordingClient is a Client and its Frontend; it records the messages it gets.
+// A recordingClient is a Client and its own Frontend. It records the messages that it receives.
 type recordingClient struct {
 	messages []string
 }
@@ -75,10 +75,10 @@
 	c.record("notify release %s %d", id, cause)
 }
 
-// recordingBackends records the messages to backends among those to a client.
+// recordingBackends records the messages to backends together with those to a client, in one sequence.
 type recordingBackends struct {
 	*recordingClient
-	unsent bool // Cancel reports that the setup was not sent
+	unsent bool // whether Cancel reports that the setup was not sent
 }
 
 func (b *recordingBackends) Invite(server string, s Setup) {
@@ -98,7 +98,7 @@
 	b.record("release everywhere %s %d", id, cause)
 }
 
-// A fixture is a Manager with one client, scripted decisions and a clock that the test sets.
+// A fixture is a Manager with one client, scripted decisions and a clock controlled by the test.
 type fixture struct {
 	manager  *Manager
 	decider  scriptedDecider
@@ -107,7 +107,7 @@
 	now      Time
 }
 
-// callTimeout is the time that the fixture's calls have until their deadline.
+// callTimeout is the time from the offer of a fixture's call to its deadline.
 const callTimeout = 3 * time.Second
 
 func newFixture(decisions ...admission.Decision) *fixture {
@@ -123,12 +123,12 @@
 	return f
 }
 
-// offer offers a call on the fixture's client.
+// offer offers a call from the fixture's client.
 func (f *fixture) offer(id string) {
 	_ = f.manager.Offer(f.client, Request{ID: id, Class: "c", Deadline: f.now + callTimeout})
 }
 
-// wantMessages compares the messages since the last comparison, in their order.
+// wantMessages checks the sequence of messages recorded since the previous check.
 func (f *fixture) wantMessages(t *testing.T, want ...string) {
 	t.Helper()
 	if fmt.Sprint(f.client.messages) != fmt.Sprint(want) {
@@ -137,7 +137,7 @@
 	f.client.messages = nil
 }
 
-// send is the decision to start an attempt of two seconds at a server.
+// send returns the decision to start an attempt at a server with a timeout of two seconds.
 func send(server string) admission.Decision {
 	return admission.Decision{Kind: admission.DecisionSend, Server: server, Wait: 2 * time.Second}
 }
--- a/internal/call/manager_test.go
+++ b/internal/call/manager_test.go
@@ -13,10 +13,10 @@
 	f.manager.AttemptAnswered("s", "x", 0, []byte("sdp"))
 	f.manager.AttemptAnswered("s", "x", 0, []byte("sdp")) // repeated
 	f.manager.BackendReleased("s", "x", CauseNormal, f.client)
-	f.manager.BackendReleased("s", "x", CauseNormal, f.client) // repeated on the next connection
+	f.manager.BackendReleased("s", "x", CauseNormal, f.client) // repeated on a new connection
 	f.wantMessages(t, "invite s x 0", "established x sdp", "notify release x 16")
 	if got := f.decider.lastReport(); got.Result != admission.ResultDelivered || !got.Final {
-		t.Errorf("the end was reported as %+v", got)
+		t.Errorf("the end of the call was reported as %+v", got)
 	}
 }
 
@@ -42,10 +42,10 @@
 	f.offer("x")
 	f.now += 2 * time.Second
 	f.manager.Tick()
-	f.manager.AttemptEnded("s", "x", 0, ProcessorBusy) // too late
+	f.manager.AttemptEnded("s", "x", 0, ProcessorBusy) // after the timeout: ignored
 	f.wantMessages(t, "invite s x 0", "cancel s x 0", "rejected x 41 0s")
 	if got := f.decider.reports[0]; got.Result != admission.ResultTimedOut {
-		t.Errorf("a time-out was reported as %+v", got)
+		t.Errorf("a timeout was reported as %+v", got)
 	}
 }
 
@@ -56,12 +56,11 @@
 	f.now += 2 * time.Second
 	f.manager.Tick()
 	if got := f.decider.reports[0]; got.Result != admission.ResultNotSent {
-		t.Errorf("a setup that was never written was reported as %+v", got)
+		t.Errorf("an unsent setup was reported as %+v", got)
 	}
 }
 
-// A Decider that sends a call again after its deadline is not followed: the call is answered, and Tick
-// returns.
+// A decision to send a call after its deadline is not executed: the call is answered, and Tick returns.
 func TestNoAttemptAfterTheDeadlineOfTheCall(t *testing.T) {
 	decisions := make([]admission.Decision, 100)
 	for i := range decisions {
@@ -72,26 +71,26 @@
 	f.now += callTimeout
 	f.manager.Tick()
 	if m := f.manager; m.Attempts != 1 || m.OpenCalls() != 0 || m.Failed != 1 {
-		t.Errorf("%d attempts, %d open, %d failed", m.Attempts, m.OpenCalls(), m.Failed)
+		t.Errorf("got %d attempts, %d open and %d failed calls, want 1, 0 and 1", m.Attempts, m.OpenCalls(), m.Failed)
 	}
 }
 
-// A call whose Decider returns no decision is answered at its deadline, and the Decider is notified.
+// A call without a decision is answered at its deadline, and the Decider is notified.
 func TestCallWithoutDecisionIsAnsweredAtItsDeadline(t *testing.T) {
 	f := newFixture(admission.Decision{Kind: admission.DecisionNone})
 	f.offer("x")
 	if next := f.manager.NextDeadline(); next != f.now+callTimeout {
-		t.Errorf("the next deadline is in %v", next-f.now)
+		t.Errorf("the next deadline is in %v, not at the deadline of the call", next-f.now)
 	}
 	f.now += callTimeout
 	f.manager.Tick()
 	f.wantMessages(t, "rejected x 41 0s")
 	if got := f.decider.lastReport(); got.Kind != admission.ReportAbandoned || f.manager.OpenCalls() != 0 {
-		t.Errorf("reported as %+v, %d open", got, f.manager.OpenCalls())
+		t.Errorf("the call was reported as %+v; %d calls are open", got, f.manager.OpenCalls())
 	}
 }
 
-// A decision that is due at the deadline of the call takes precedence over the deadline.
+// If a decision is due at the deadline of the call, the decision is applied, not the deadline.
 func TestDecisionAtTheDeadlineTakesPrecedence(t *testing.T) {
 	f := newFixture(admission.Decision{Kind: admission.DecisionNone})
 	f.offer("y")
@@ -104,7 +103,7 @@
 func TestRejectOpenCallsAnswersAll(t *testing.T) {
 	f := newFixture(send("s"))
 	f.offer("x")
-	f.offer("waiting") // has no attempt: a retry is safe
+	f.offer("waiting") // has no attempt, so a retry is safe
 	f.manager.RejectOpenCalls()
 	f.wantMessages(t, "invite s x 0", "rejected waiting 34 0s", "cancel s x 0", "rejected x 34 0s")
 	if f.manager.OpenCalls() != 0 {
@@ -112,7 +111,7 @@
 	}
 }
 
-// A call that does harm if it runs twice is rejected at shutdown by its cause for retries only if its
+// At shutdown, a call that is unsafe to repeat is rejected with the cause that allows a retry only if its
 // setup was not sent.
 func TestRejectOpenCallsOfRepeatUnsafeCalls(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/call/offer_test.go
+++ b/internal/call/offer_test.go
@@ -19,11 +19,11 @@
 	f.manager.AttemptAnswered("s", "x", 0, []byte("sdp"))
 	f.wantMessages(t, "invite s x 0", "forgotten x")
 	if fmt.Sprint(other.messages) != "[established x sdp]" {
-		t.Errorf("the new connection got %q", other.messages)
+		t.Errorf("the new connection received %q", other.messages)
 	}
 }
 
-// An offer under the id of another call neither gets the answer of that call nor ends it.
+// An offer that uses the id of another call neither receives the answer to that call nor ends it.
 func TestOffersUnderAReusedID(t *testing.T) {
 	f := newFixture(send("s"), send("s"))
 	f.offer("x")
@@ -44,17 +44,18 @@
 	f.manager.CallerDisconnected(other)
 	f.manager.AttemptAnswered("s", "x", 0, []byte("sdp"))
 	if err := f.manager.Offer(other, Request{ID: "x", Class: "c"}); !errors.Is(err, ErrIDInUse) {
-		t.Errorf("an established call: %v", err)
+		t.Errorf("offer with the id of an established call: %v", err)
 	}
 	f.manager.ReleaseByCaller("x", CauseNormal)
 	f.offer("x")
 	f.wantMessages(t, "invite s x 0", "established x sdp", "release s x 16", "rejected x 41 0s")
 	if len(other.messages) > 0 {
-		t.Errorf("the other caller got %q", other.messages)
+		t.Errorf("the other caller received %q", other.messages)
 	}
 }
 
-// Offers and releases above the limits are rejected, and the memory of all of them is released.
+// Offers above the limits are rejected, releases above them are dropped, and the memory of all calls and
+// ids is freed in the end.
 func TestLimits(t *testing.T) {
 	f := newFixture(send("s"), send("s"), send("s"), send("s"))
 	m := f.manager
@@ -80,7 +81,7 @@
 	}
 	unknown := m.unknownReleases.ids
 	if n := len(unknown.entries) + len(unknown.queue); n > 12 {
-		t.Errorf("%d entries of unknown releases", n)
+		t.Errorf("%d entries for releases of unknown calls, want at most 12", n)
 	}
 	f.client.messages = nil
 	f.now += 2 * time.Second
@@ -88,13 +89,13 @@
 		m.ReleaseByCaller(fmt.Sprint("made up", i), CauseNormal)
 	}
 	if len(f.client.messages) != maxUnknownReleasesPerSecond {
-		t.Errorf("%d releases of unknown calls were forwarded in a second", len(f.client.messages))
+		t.Errorf("%d releases of unknown calls were forwarded within a second", len(f.client.messages))
 	}
 	f.now += completedCallRetention + 1
 	m.Tick()
 	completed := m.completedCalls
 	if m.openCalls+m.descriptionBytes+len(m.calls)+len(completed.entries)+len(unknown.entries) != 0 {
-		t.Errorf("left: %d open, %d bytes, %d calls, %d and %d ids",
+		t.Errorf("not freed: %d open calls, %d bytes, %d calls, %d completed and %d unknown ids",
 			m.openCalls, m.descriptionBytes, len(m.calls), len(completed.entries), len(unknown.entries))
 	}
 }
--- a/internal/call/release_test.go
+++ b/internal/call/release_test.go
@@ -13,10 +13,10 @@
 	if f.manager.ReleaseByCaller("x", CauseNormal) {
 		t.Error("an open call was reported as established")
 	}
-	f.manager.CallerDisconnected(f.client) // has no open calls left
+	f.manager.CallerDisconnected(f.client) // it has no open calls left
 	f.offer("y")
 	f.manager.AttemptAnswered("s", "y", 0, nil)
-	f.manager.CallerDisconnected(f.client) // an established call belongs to no connection
+	f.manager.CallerDisconnected(f.client) // the established call stays up
 	f.manager.ReleaseByCaller("y", CauseNormal)
 	f.manager.ReleaseByCaller("y", CauseNormal)
 	f.manager.BackendReleased("s", "y", CauseNormal, f.client)
@@ -28,7 +28,7 @@
 		"invite s z 0", "cancel s z 0", "forgotten z")
 }
 
-// After a restart releases of unknown calls are forwarded once.
+// Releases of unknown calls, for instance after a restart, are forwarded once.
 func TestReleaseOfAnUnknownCall(t *testing.T) {
 	f := newFixture()
 	f.manager.BackendReleased("s", "x", CauseTemporaryFailure, f.client)
@@ -50,25 +50,25 @@
 	f.wantMessages(t, "invite s x 0", "established x ", "invite s y 0", "established y ", "notify release x 41")
 }
 
-// The release of an earlier attempt at the same server, whose answer was lost, cancels the attempt in
-// progress: the next attempt would run beside it.
+// A release may belong to an earlier attempt at the same server whose answer was lost. It cancels the
+// attempt in progress, because the next attempt would run concurrently with it.
 func TestReleaseBeforeTheAnswerCancelsTheAttempt(t *testing.T) {
 	f := newFixture(send("s"), admission.Decision{Kind: admission.DecisionNone})
 	f.offer("x")
 	f.manager.BackendReleased("s", "x", CauseNormal, f.client)
 	f.wantMessages(t, "invite s x 0", "cancel s x 0")
 	if got := f.decider.lastReport(); got.Result != admission.ResultConnectionLost {
-		t.Errorf("reported as %+v", got)
+		t.Errorf("the end of the attempt was reported as %+v", got)
 	}
 }
 
-// The number of calls established at a server follows them through every way in which they end.
+// The number of calls established at a server stays correct however the calls end.
 func TestEstablishedAt(t *testing.T) {
 	f := newFixture(send("s"), send("s"), send("s"), send("s"), send("t"))
 	want := func(s, other int) {
 		t.Helper()
 		if got, gotOther := f.manager.EstablishedAt("s"), f.manager.EstablishedAt("t"); got != s || gotOther != other {
-			t.Errorf("%d and %d calls are established, want %d and %d", got, gotOther, s, other)
+			t.Errorf("%d and %d calls are established at s and t, want %d and %d", got, gotOther, s, other)
 		}
 	}
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -83,7 +83,7 @@
 	f.manager.ReleaseByCaller("a", CauseNormal)
 	want(3, 1)
 	f.manager.BackendReleased("s", "b", CauseNormal)
-	f.manager.BackendReleased("s", "b", CauseNormal) // a repetition
+	f.manager.BackendReleased("s", "b", CauseNormal) // repeated
 	want(2, 1)
 	if dropped := f.manager.BackendRestarted("s", f.now+1); len(dropped) != 2 || dropped[0] != "c" || dropped[1] != "d" {
 		t.Errorf("dropped %v", dropped)
@@ -94,6 +94,6 @@
 	}
 	want(0, 0)
 	if len(f.manager.establishedCalls) != 0 {
-		t.Error("a server without calls is remembered")
+		t.Error("servers without calls still have entries")
 	}
 }
--- a/internal/call/state_test.go
+++ b/internal/call/state_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain makes every transition that is not permitted fail the test that causes it.
+// TestMain makes every invalid state transition fail the test that causes it.
 func TestMain(m *testing.M) {
 	reportInvalidTransition = func(c *call, to callState) {
 		panic(fmt.Sprintf("call %s: transition from %v to %v", c.ID, c.state, to))
@@ -22,7 +22,8 @@
 	}
 }
 
-// An ended call stays ended, and an established call can only end.
+// Transitions that callTransitions does not list are rejected: for example, an ended call stays ended, and
+// an established call can only end.
 func TestTransitionsThatAreNotPermitted(t *testing.T) {
 	for _, test := range []struct{ from, to callState }{
 		{callEnded, callWaiting},
