--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -10,27 +10,27 @@
 	"olivedale/internal/config"
 )
 
-// MaxAnswerBytes bounds the size of an answer.
+// MaxAnswerBytes is the maximum size of an answer.
 const MaxAnswerBytes = 8000
 
-// Errors of an answer that does not fit the queries.
+// Errors for answers that do not match a query or have no serial number.
 var (
-	ErrUnsolicited   = errors.New("no recent query has its id")
-	ErrWrongQuestion = errors.New("it answers another question")
+	ErrUnsolicited   = errors.New("unsolicited answer: no recent query has its id")
+	ErrWrongQuestion = errors.New("question does not match the query")
 	ErrNoSerial      = errors.New("no SOA record")
 )
 
-// An answer is the content of a valid DNS answer.
+// An answer is the parsed content of a valid DNS answer.
 type answer struct {
 	queryID   uint16
 	serial    uint32
 	endpoints map[string]config.Endpoint // by Endpoint.ID
 }
 
-// parseAnswer reads the answer to one of the queries.
+// parseAnswer parses a DNS message, which must be the answer to one of the recent queries.
 func parseAnswer(message []byte, queries *queryLog) (answer, error) {
 	if len(message) > MaxAnswerBytes {
-		return answer{}, fmt.Errorf("%d bytes, more than %d", len(message), MaxAnswerBytes)
+		return answer{}, fmt.Errorf("message has %d bytes, the maximum is %d", len(message), MaxAnswerBytes)
 	}
 	var p dnsmessage.Parser
 	header, err := p.Start(message)
@@ -62,7 +62,7 @@
 		return ErrUnsolicited
 	}
 	if h.RCode != dnsmessage.RCodeSuccess || h.Truncated {
-		return fmt.Errorf("rcode %v, truncated %v", h.RCode, h.Truncated)
+		return fmt.Errorf("unusable DNS answer: rcode %v, truncated %v", h.RCode, h.Truncated)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// readRecords reads the records of all sections after the questions.
+// readRecords collects the records of the answer, authority and additional sections.
 func readRecords(p *dnsmessage.Parser) (*records, error) {
 	r := &records{hosts: make(map[string]host)}
 	sections := []func() ([]dnsmessage.Resource, error){p.AllAnswers, p.AllAuthorities, p.AllAdditionals}
@@ -100,5 +100,5 @@
 	return r, nil
 }
 
-// equalNames compares DNS names, which are case-insensitive.
+// equalNames reports whether two DNS names are equal. DNS names are case-insensitive.
 func equalNames(a, b dnsmessage.Name) bool { return strings.EqualFold(a.String(), b.String()) }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the list of endpoints that a DNS service announces by SRV records. It writes the
-// queries, reads the answers and returns what changed. It never opens a socket: the caller sends and receives.
+// Package discovery maintains the list of endpoints that a DNS service publishes in SRV records. It builds the
+// queries, parses the answers and returns the changes. It opens no sockets: the caller sends and receives messages.
 package discovery
 
 import (
@@ -12,11 +12,11 @@
 	"olivedale/internal/config"
 )
 
-// ErrEmptyList says that an answer lists no endpoint while the current list has some. The answer to a later query
-// has to confirm it.
-var ErrEmptyList = errors.New("an empty list that no second answer confirms yet")
+// ErrEmptyList is returned for an answer without endpoints while the current list is not empty. Such an answer must
+// be confirmed by the answer to another query.
+var ErrEmptyList = errors.New("empty list of endpoints, not yet confirmed by a second answer")
 
-// A Resolver keeps the list of endpoints as of the newest accepted answer. It is for one goroutine at a time.
+// A Resolver holds the list of endpoints as of the newest accepted answer. It is not safe for concurrent use.
 type Resolver struct {
 	serial    uint32
 	endpoints map[string]config.Endpoint // by Endpoint.ID
@@ -24,14 +24,14 @@
 	empty     emptyAnswer
 }
 
-// An emptyAnswer is the latest answer without endpoints that waits for confirmation by another query's answer.
+// An emptyAnswer is an answer without endpoints that has yet to be confirmed by the answer to another query.
 type emptyAnswer struct {
 	pending bool
 	queryID uint16
 }
 
-// NewResolver applies the events that the configuration holds. It returns the resolver and its endpoints in the
-// order of their IDs.
+// NewResolver returns a resolver whose list results from the events in the configuration, and the endpoints of the
+// list sorted by ID.
 func NewResolver(known config.KnownEndpoints) (*Resolver, []config.Endpoint) {
 	r := &Resolver{serial: uint32(known.LastEvent), endpoints: make(map[string]config.Endpoint)}
 	for _, event := range known.Events {
@@ -42,7 +42,7 @@
 	return r, all
 }
 
-// apply changes the list by one event of the configuration.
+// apply updates the list with one event of the configuration.
 func (r *Resolver) apply(update config.EndpointList) {
 	if update.Complete {
 		clear(r.endpoints)
@@ -60,11 +60,11 @@
 	slices.SortFunc(endpoints, func(a, b config.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Serial returns the number of the newest event in the list.
+// Serial returns the serial number of the list: that of the newest accepted answer or configured event.
 func (r *Resolver) Serial() uint32 { return r.serial }
 
-// HandleAnswer reads an answer and returns the endpoints that changed, in the order of their IDs; a removed one has
-// PhaseGone. An answer that is not newer than the list changes nothing, and so does one that comes with an error.
+// HandleAnswer processes an answer and returns the endpoints that changed, sorted by ID; removed endpoints have
+// PhaseGone. The list stays unchanged if the answer is not newer than the list or HandleAnswer returns an error.
 func (r *Resolver) HandleAnswer(message []byte) ([]config.Endpoint, error) {
 	received, err := parseAnswer(message, &r.queries)
 	if err != nil {
@@ -82,11 +82,12 @@
 	return changed, nil
 }
 
-// isNewer compares serial numbers as RFC 1982 does: they wrap around.
+// isNewer compares serial numbers, which wrap around, as defined by RFC 1982.
 func isNewer(serial, current uint32) bool { return int32(serial-current) > 0 }
 
-// passesEmptyListCheck guards against an answer that has lost its records: an old list is better than none. A list becomes
-// empty only when the answers to two queries in a row say so; a repeated answer to one query is not a confirmation.
+// passesEmptyListCheck guards against answers that lack their records, because an outdated list is better than an
+// empty one. The list becomes empty only if the answers to two consecutive queries have no endpoints; a repeated
+// answer to the same query is not a confirmation.
 func (r *Resolver) passesEmptyListCheck(received answer) bool {
 	losesAll := len(received.endpoints) == 0 && len(r.endpoints) > 0
 	isConfirmed := r.empty.pending && r.empty.queryID != received.queryID
@@ -98,7 +99,7 @@
 	return true
 }
 
-// diff compares the list with a newer one.
+// diff returns the endpoints that are changed, added or removed in a newer list, sorted by ID.
 func (r *Resolver) diff(newer map[string]config.Endpoint) []config.Endpoint {
 	var changed []config.Endpoint
 	for id, endpoint := range r.endpoints {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/config"
 )
 
-// A listedHost is one endpoint in an answer.
+// A listedHost describes one endpoint of an answer.
 type listedHost struct {
 	id        string
 	priority  uint16
@@ -21,7 +21,7 @@
 	noAddress bool
 }
 
-// encodeAnswer builds the DNS answer that lists some hosts.
+// encodeAnswer returns a DNS answer that lists the given hosts.
 func encodeAnswer(t testing.TB, id uint16, serial uint32, hosts ...listedHost) []byte {
 	t.Helper()
 	b := dnsmessage.NewBuilder(nil, dnsmessage.Header{ID: id, Response: true})
@@ -62,7 +62,8 @@
 		Started: started}
 }
 
-// newQueriedResolver returns a list of a (ready) and c (terminating) as of serial 3, after a query with ID 7.
+// newQueriedResolver returns a resolver with the endpoints a (ready) and c (terminating) at serial 3, after a query
+// with ID 7.
 func newQueriedResolver(t *testing.T) *Resolver {
 	t.Helper()
 	ready := []config.Endpoint{endpoint("a", config.PhaseReady, 0), endpoint("b", config.PhaseReady, 0)}
@@ -73,7 +74,7 @@
 		{N: 2, Endpoints: config.EndpointList{Endpoints: gone}},
 		{N: 3, Endpoints: config.EndpointList{Endpoints: terminating}}}})
 	if len(all) != 2 || all[0].ID != "a" || all[1].Phase != config.PhaseTerminating {
-		t.Fatalf("start: %+v", all)
+		t.Fatalf("initial endpoints: %+v", all)
 	}
 	if _, err := resolver.NewQuery(7); err != nil {
 		t.Fatal(err)
@@ -91,7 +92,7 @@
 		t.Errorf("got %+v, %v, serial %d", got, err, resolver.Serial())
 	}
 	if got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 4)); err != nil || len(got) != 0 || resolver.Serial() != 5 {
-		t.Errorf("an older answer: %+v, %v", got, err)
+		t.Errorf("an older answer returned %+v, %v", got, err)
 	}
 	got, err = resolver.HandleAnswer(encodeAnswer(t, 7, 6, listedHost{id: "d", started: 1234}))
 	if err != nil || len(got) != 1 || got[0].Phase != config.PhaseGone {
@@ -107,7 +108,8 @@
 	}
 	message := encodeAnswer(t, 7, 9, hosts...)
 	if got, err := resolver.HandleAnswer(message); err != nil || len(got) != 62 || len(message) < 4000 {
-		t.Errorf("%d changes, %v, of %d bytes", len(got), err, len(message))
+		t.Errorf("got %d changes and error %v from %d bytes, want 62 changes from at least 4000 bytes",
+			len(got), err, len(message))
 	}
 }
 
@@ -128,12 +130,12 @@
 	for name, message := range invalid {
 		t.Run(name, func(t *testing.T) {
 			if got, err := resolver.HandleAnswer(message); err == nil || resolver.Serial() != 3 {
-				t.Errorf("%+v, serial %d", got, resolver.Serial())
+				t.Errorf("got %+v, serial %d; want an error and serial 3", got, resolver.Serial())
 			}
 		})
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 5000 { // a few bytes of a valid answer are overwritten
+	for range 5000 { // a few random bytes of a valid answer are overwritten; parsing must not panic
 		message := slices.Clone(valid)
 		for range 1 + rng.IntN(4) {
 			message[rng.IntN(len(message))] = byte(rng.Uint32())
@@ -143,7 +145,7 @@
 	}
 }
 
-// The errors of answers that fit no query can be told apart.
+// Callers can tell an unsolicited answer from an empty list by the error.
 func TestAnswerErrors(t *testing.T) {
 	resolver := newQueriedResolver(t)
 	if _, err := resolver.HandleAnswer(encodeAnswer(t, 8, 9)); !errors.Is(err, ErrUnsolicited) {
@@ -154,8 +156,8 @@
 	}
 }
 
-// The list becomes empty when the answers to two queries in a row are empty. A repeated answer to one query does
-// not count, nor do two with a list between them.
+// The list becomes empty only if the answers to two consecutive queries are empty. A repeated answer to one query
+// does not count, and neither do two empty answers with a non-empty one between them.
 func TestEmptyListNeedsConfirmation(t *testing.T) {
 	resolver := newQueriedResolver(t)
 	if _, err := resolver.NewQuery(8); err != nil {
@@ -163,26 +165,26 @@
 	}
 	for i, message := range [][]byte{encodeAnswer(t, 7, 9), encodeAnswer(t, 7, 9), encodeAnswer(t, 7, 9)} {
 		if got, err := resolver.HandleAnswer(message); err == nil {
-			t.Errorf("copy %d: %+v", i, got)
+			t.Errorf("copy %d of the empty answer was accepted: %+v", i, got)
 		}
 	}
 	if got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 10, listedHost{id: "a"})); err != nil || len(got) != 1 {
-		t.Errorf("a list: %+v, %v", got, err)
+		t.Errorf("a non-empty answer returned %+v, %v", got, err)
 	}
 	if got, err := resolver.HandleAnswer(encodeAnswer(t, 8, 11)); err == nil {
-		t.Errorf("the first since: %+v", got)
+		t.Errorf("the first empty answer after it was accepted: %+v", got)
 	}
 	got, err := resolver.HandleAnswer(encodeAnswer(t, 7, 11))
 	if err != nil || len(got) != 1 || got[0].Phase != config.PhaseGone {
-		t.Errorf("the second: %+v, %v", got, err)
+		t.Errorf("the second empty answer returned %+v, %v", got, err)
 	}
 }
 
-// Serials may repeat, go back and wrap around; answers may come seconds late and more than once. Only a newer
-// serial changes the list.
+// Serial numbers may repeat, decrease and wrap around, and answers may arrive seconds late and more than once. Only
+// a newer serial number changes the list.
 func TestSerials(t *testing.T) {
 	resolver := newQueriedResolver(t)
-	for i := range 30 { // as many queries as leave in 4.5 s
+	for i := range 30 { // the number of queries sent in 4.5 s
 		if _, err := resolver.NewQuery(uint16(100 + i)); err != nil {
 			t.Fatal(err)
 		}
@@ -214,6 +216,6 @@
 	}
 	name := question.Name.String()
 	if header.ID != 9 || question.Type != dnsmessage.TypeSRV || !strings.HasPrefix(name, "_api._tcp.") {
-		t.Errorf("%+v %+v", header, question)
+		t.Errorf("header %+v, question %+v", header, question)
 	}
 }
--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -12,7 +12,7 @@
 
 var srvName = dnsmessage.MustNewName(ServiceName)
 
-// maxRecentQueries is how many of the latest queries an answer may belong to: answers may be some seconds late.
+// maxRecentQueries is the number of latest queries whose answers are accepted. Answers may be several seconds late.
 const maxRecentQueries = 32
 
 // queryBufferBytes is the initial size of the buffer for a query.
@@ -20,8 +20,8 @@
 
 // A queryLog holds the IDs of the latest queries.
 type queryLog struct {
-	ids   [maxRecentQueries]uint16 // a ring
-	count int                      // all queries so far
+	ids   [maxRecentQueries]uint16 // ring buffer
+	count int                      // number of all queries so far
 }
 
 func (q *queryLog) add(id uint16) {
@@ -33,7 +33,7 @@
 	return slices.Contains(q.ids[:min(q.count, maxRecentQueries)], id)
 }
 
-// NewQuery returns the next query as a DNS message. The caller draws the ID at random.
+// NewQuery returns the next query as a DNS message. The caller must choose a random ID.
 func (r *Resolver) NewQuery(id uint16) ([]byte, error) {
 	message, err := buildQuery(id)
 	if err != nil {
--- a/internal/discovery/records.go
+++ b/internal/discovery/records.go
@@ -11,7 +11,7 @@
 	"olivedale/internal/config"
 )
 
-// Keys of the strings in a host's TXT record, which have the form key=value; other keys are ignored.
+// Keys of the key=value strings in a host's TXT record. Other keys are ignored.
 const (
 	txtKind    = "kind"    // config.Endpoint.Kind
 	txtPool    = "cell"    // config.Endpoint.Pool
@@ -21,20 +21,20 @@
 // records collects the resource records of an answer.
 type records struct {
 	hasSerial  bool
-	serial     uint32 // of the SOA record
+	serial     uint32 // from the SOA record
 	srvRecords []*dnsmessage.SRVResource
-	hosts      map[string]host // by the lower-case name of the SRV records' target
+	hosts      map[string]host // by the target of the SRV records, in lower case
 }
 
-// A host is what the A and TXT records of one name say.
+// A host holds the data of the A and TXT records of one name.
 type host struct {
 	address netip.Addr
 	kind    string
 	pool    int
-	started int64 // Unix milliseconds, or 0
+	started int64 // Unix milliseconds, 0 if not given
 }
 
-// add takes one record. Types that discovery does not use are ignored.
+// add adds the data of a resource record. Record types that are not used are ignored.
 func (r *records) add(resource dnsmessage.Resource) error {
 	name := strings.ToLower(resource.Header.Name.String())
 	switch body := resource.Body.(type) {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// setAttribute takes one string of the host's TXT record.
+// setAttribute parses one string of the host's TXT record.
 func (h *host) setAttribute(text string) (err error) {
 	key, value, _ := strings.Cut(text, "=")
 	switch key {
@@ -73,12 +73,12 @@
 		h.started, err = strconv.ParseInt(value, 10, 64)
 	}
 	if err != nil {
-		return fmt.Errorf("%q: %w", text, err)
+		return fmt.Errorf("TXT attribute %q: %w", text, err)
 	}
 	return nil
 }
 
-// endpoints joins the SRV records with the hosts that they name.
+// endpoints returns an endpoint for each SRV record, by ID.
 func (r *records) endpoints() (map[string]config.Endpoint, error) {
 	all := make(map[string]config.Endpoint, len(r.srvRecords))
 	for _, srv := range r.srvRecords {
@@ -91,17 +91,17 @@
 	return all, nil
 }
 
-// endpoint reads one SRV record. Its target is ID.zone.domain; a priority other than 0 means that the endpoint
-// terminates.
+// endpoint combines an SRV record with the data of its target host. The target has the form ID.zone.domain; a
+// priority other than 0 means that the endpoint is terminating.
 func (r *records) endpoint(srv *dnsmessage.SRVResource) (config.Endpoint, error) {
 	target := srv.Target.String()
 	h := r.hosts[strings.ToLower(target)]
 	if !h.address.IsValid() {
-		return config.Endpoint{}, fmt.Errorf("%s has no address", target)
+		return config.Endpoint{}, fmt.Errorf("host %s has no address", target)
 	}
 	labels := strings.SplitN(target, ".", 3)
 	if len(labels) < 3 {
-		return config.Endpoint{}, fmt.Errorf("target %q is not ID.zone.domain", target)
+		return config.Endpoint{}, fmt.Errorf("target %q does not have the form ID.zone.domain", target)
 	}
 	phase := config.PhaseReady
 	if srv.Priority != 0 {
