--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -1,6 +1,6 @@
-// Package acceptor accepts connections on a listening socket and hands each one over before it takes the next. The end
-// of accepting can be waited for, and loses no connection that the kernel has accepted. The package knows no protocol
-// and never answers a connection itself.
+// Package acceptor accepts connections on a listening socket and passes each one to a handler before it accepts the
+// next. It can be closed without losing connections that the kernel has already accepted, and callers can wait until
+// that is done. The package is independent of protocols and never writes to a connection.
 package acceptor
 
 import (
@@ -15,18 +15,18 @@
 )
 
 const (
-	// acceptRetryInterval is the time between two tries to accept where the system has no resources for a connection.
+	// acceptRetryInterval is the time until accept is retried after a failure, such as a lack of system resources.
 	acceptRetryInterval = 20 * time.Millisecond
-	// maxDrained bounds the connections that are taken from the queue of the listening socket at the end, where clients
-	// connect without a pause.
+	// maxDrained limits the connections that are accepted from the queue of the listening socket after Close, in case
+	// clients keep connecting.
 	maxDrained = 4096
 )
 
-// errNotTCP is the error of a listening socket that is none of TCP.
+// errNotTCP is returned for a listening socket that is not a TCP socket.
 var errNotTCP = errors.New("not a TCP listener")
 
-// A HandOver takes an accepted connection, which it owns from then on. Accept calls it from one goroutine, and takes
-// the next connection when it returns.
+// A HandOver receives an accepted connection and takes ownership of it. Accept calls it sequentially, and accepts the
+// next connection when it has returned.
 type HandOver func(net.Conn)
 
 // An Acceptor accepts the connections of one listening socket.
@@ -36,11 +36,11 @@
 	isClosing atomic.Bool
 }
 
-// Listen opens a listening socket on a TCP address. Errors are those of net.Listen.
+// Listen opens a listening socket on a TCP address. It wraps the errors of net.ListenConfig.Listen.
 func Listen(address string) (*Acceptor, error) {
-	// Callers' connections are quiet for as long as calls last: nothing is sent to test them.
+	// Connections of callers may be idle for the duration of a call, so keep-alive probes are disabled.
 	config := net.ListenConfig{KeepAlive: -1}
-	config.SetMultipathTCP(false) // its listening sockets take no filter
+	config.SetMultipathTCP(false) // listening MPTCP sockets do not support socket filters
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
@@ -53,14 +53,15 @@
 	return &Acceptor{listener: tcp}, nil
 }
 
-// Address returns the address that the socket is bound to.
+// Address returns the local address of the listening socket.
 func (a *Acceptor) Address() string { return a.listener.Addr().String() }
 
-// Accepted returns the number of connections that have been accepted. It may be called from anywhere.
+// Accepted returns the number of accepted connections. It is safe for concurrent use.
 func (a *Acceptor) Accepted() int64 { return a.accepted.Load() }
 
-// Accept hands over connections until Close is called; then those that wait in the queue of the listening socket, and
-// closes the socket. When it returns, each connection that the kernel has accepted has been handed over.
+// Accept passes connections to the handler until Close is called. It then drains the queue of the listening socket
+// and closes the socket. When Accept returns, every connection that the kernel has accepted has been passed to the
+// handler.
 func (a *Acceptor) Accept(handOver HandOver) {
 	for !a.isClosing.Load() {
 		conn, err := a.listener.Accept()
@@ -78,13 +79,13 @@
 	_ = a.listener.Close()
 }
 
-// Close makes Accept return soon. It may be called from anywhere, and more than once.
+// Close makes Accept drain the queue and return. It is safe for concurrent use and may be called more than once.
 func (a *Acceptor) Close() {
 	a.isClosing.Store(true)
-	_ = a.listener.SetDeadline(time.Now()) // wakes a listener that waits
+	_ = a.listener.SetDeadline(time.Now()) // unblocks a waiting accept
 }
 
-// drainQueue hands over the connections that wait in the queue of the listening socket.
+// drainQueue passes the connections in the queue of the listening socket to the handler.
 func (a *Acceptor) drainQueue(handOver HandOver) {
 	raw, err := a.listener.SyscallConn()
 	if err != nil {
@@ -101,7 +102,8 @@
 	}
 }
 
-// acceptQueued takes a connection from the queue of a listening socket without waiting; nil: there is none.
+// acceptQueued accepts a connection from the queue of a listening socket without blocking. It returns nil if there is
+// none.
 func acceptQueued(listener syscall.RawConn) net.Conn {
 	descriptor := -1
 	_ = listener.Control(func(listening uintptr) {
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startAcceptor starts accepting; the channel is closed when Accept has returned.
+// startAcceptor runs Accept on a new goroutine. The channel is closed when Accept returns.
 func startAcceptor(t *testing.T, handOver HandOver) (a *Acceptor, ended chan struct{}) {
 	t.Helper()
 	a, err := Listen("127.0.0.1:0")
@@ -30,7 +30,7 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("Accept does not return")
+		t.Fatal("Accept did not return within 5 seconds")
 	}
 }
 
@@ -43,15 +43,15 @@
 	t.Cleanup(func() { _ = conn.Close() })
 }
 
-// Connections that wait in the queue as accepting ends are handed over, not reset; then nobody listens.
+// Connections in the queue at Close are passed to the handler, not reset. Later connections are refused.
 func TestCloseDrainsTheQueue(t *testing.T) {
 	const clients = 40
-	var handedOver atomic.Int64
+	var handled atomic.Int64
 	first := make(chan struct{})
 	proceed := make(chan struct{})
 	a, ended := startAcceptor(t, func(conn net.Conn) {
 		t.Cleanup(func() { _ = conn.Close() })
-		if handedOver.Add(1) == 1 {
+		if handled.Add(1) == 1 {
 			close(first)
 			<-proceed
 		}
@@ -64,15 +64,15 @@
 	a.Close()
 	close(proceed)
 	awaitEnd(t, ended)
-	if n := handedOver.Load(); n != clients || a.Accepted() != clients {
-		t.Errorf("%d connections were handed over, %d counted, want %d", n, a.Accepted(), clients)
+	if n := handled.Load(); n != clients || a.Accepted() != clients {
+		t.Errorf("%d connections were handled and %d counted, want %d", n, a.Accepted(), clients)
 	}
 	if _, err := net.Dial("tcp", a.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("afterwards: %v, want a refusal", err)
+		t.Errorf("dial after Close: got %v, want connection refused", err)
 	}
 }
 
-// Clients that connect without a pause while accepting ends find either an acceptor or a refusal.
+// Clients that connect continuously during Close are either accepted or refused, never reset.
 func TestNoConnectionIsResetAtTheEnd(t *testing.T) {
 	const rounds, clients = 20, 4
 	for range rounds {
@@ -98,7 +98,8 @@
 	}
 }
 
-// connectUntilRefused returns the error of a connection that came up and was not served.
+// connectUntilRefused connects repeatedly until a connection is refused. It returns any other error, such as that of
+// an established connection that was not served.
 func connectUntilRefused(address string) error {
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -116,10 +117,10 @@
 	}
 }
 
-// An address that is in use is an error, not a second listener beside the first.
+// Listening on an address that is in use fails; the port is not shared with the first listener.
 func TestListenOnAnAddressInUse(t *testing.T) {
 	a, _ := startAcceptor(t, func(conn net.Conn) { _ = conn.Close() })
 	if _, err := Listen(a.Address()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want EADDRINUSE", err)
 	}
 }
--- a/internal/acceptor/refuse.go
+++ b/internal/acceptor/refuse.go
@@ -7,24 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// pendingHandshakeWait is how long a handshake whose SYN was taken may still need to reach the queue.
+// pendingHandshakeWait is the time allowed for handshakes whose SYN was already accepted to complete and enter the
+// queue.
 const pendingHandshakeWait = 2 * time.Millisecond
 
-// Of a TCP header: the offset of the byte with the flags, and the flag SYN.
+// Offset of the flags byte in a TCP header, and the SYN flag.
 const (
 	tcpFlagsOffset = 13
 	tcpFlagSYN     = 0x02
 )
 
-// Results of a socket filter: how many bytes of a packet are kept.
+// Return values of a socket filter: the number of bytes of the packet to keep.
 const (
 	dropPacket = 0
 	keepPacket = 0xffffffff
 )
 
-// dropNewSYNs makes a listening socket drop SYNs, while handshakes that have begun go on. Without it a
-// connection that comes up between the last look into the queue and the close of the socket is reset. A client whose
-// SYN is dropped repeats it, and is refused. Errors are ignored: the socket is closed in any case.
+// dropNewSYNs makes a listening socket drop SYNs and waits for handshakes in progress. Otherwise a connection that is
+// established between the last accept and the close of the socket would be reset. A client whose SYN is dropped
+// retransmits it, and its connection is refused. Errors are ignored, because the socket is closed in any case.
 func dropNewSYNs(listener syscall.RawConn) {
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
