--- a/internal/eventloop/idlelist.go
+++ b/internal/eventloop/idlelist.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// An IdleList keeps connections in the order of their latest message, least recently used first. What it costs to
-// handle a message does not grow with their number. The zero value is empty.
+// An IdleList keeps connections ordered by their latest message, least recently used first. All operations except
+// iteration take constant time, so the cost per message does not depend on the number of connections. The zero value
+// is an empty list.
 type IdleList[T any] struct{ elements list.List }
 
-// An Element is a connection's place on an IdleList; nil: it is on none.
+// An Element is the position of a connection in an IdleList, or nil if the connection is not in a list.
 type Element = *list.Element
 
 // Len returns the number of connections.
@@ -22,7 +23,7 @@
 // Touch makes a connection the most recently used.
 func (l *IdleList[T]) Touch(e Element) { l.elements.MoveToBack(e) }
 
-// Remove takes a connection off the list and clears its element; on a nil element it does nothing.
+// Remove removes a connection from the list and sets its element to nil. It does nothing if the element is nil.
 func (l *IdleList[T]) Remove(e *Element) {
 	if *e != nil {
 		l.elements.Remove(*e)
@@ -30,7 +31,8 @@
 	}
 }
 
-// Oldest iterates from the least recently used connection. The one handed out may be removed meanwhile.
+// Oldest iterates over the connections, least recently used first. The current connection may be removed during the
+// iteration.
 func (l *IdleList[T]) Oldest() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for e := l.elements.Front(); e != nil; {
@@ -43,7 +45,8 @@
 	}
 }
 
-// Latest iterates from the most recently used connection. The one handed out may be removed meanwhile.
+// Latest iterates over the connections, most recently used first. The current connection may be removed during the
+// iteration.
 func (l *IdleList[T]) Latest() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for e := l.elements.Back(); e != nil; {
@@ -56,12 +59,12 @@
 	}
 }
 
-// UpdateOverdue keeps a connection on a list of those that may become overdue, after RecordInput at now. The list is
-// in the order of the time since when they have been silent or within a message: only its first ones need to be
-// looked at.
+// UpdateOverdue updates the position of a connection in a list of connections that may become overdue, after a call of
+// RecordInput at time now. The list is ordered by the time since when the connections have been without a complete
+// message or within a partial one, so overdue connections are at its front.
 func (l *IdleList[T]) UpdateOverdue(e *Element, v T, c *Conn, now time.Duration) {
 	switch {
-	case !c.input.hasMessage: // its time counts from the opening: its place is right
+	case !c.input.hasMessage: // the timeout runs from the opening, so the position is unchanged
 	case c.input.partialSince == 0:
 		l.Remove(e)
 		return
--- a/internal/eventloop/idlelist_test.go
+++ b/internal/eventloop/idlelist_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// An idle list is in the order of the latest messages, whatever is added and removed, and the connections that are
-// overdue are the first of those that may become overdue.
+// An idle list stays ordered by the latest messages whatever is added and removed, and in the list of connections that
+// may become overdue, the overdue ones are at the front.
 func TestIdleList(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,7 +33,7 @@
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
 				all.Remove(&want[i].element)
 				mayOverdue.Remove(&want[i].overdueElement)
-				all.Remove(&want[i].element) // a second time does nothing
+				all.Remove(&want[i].element) // a second removal does nothing
 				want = slices.Delete(want, i, i+1)
 			default:
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
@@ -46,12 +46,13 @@
 		}
 		oldestFirst := slices.Collect(all.Oldest())
 		if !slices.Equal(oldestFirst, want) || all.Len() != len(want) {
-			t.Fatalf("%d in order, want %d", len(oldestFirst), len(want))
+			t.Fatalf("Oldest returned %d connections, want %d in the order of their latest messages",
+				len(oldestFirst), len(want))
 		}
 		latestFirst := slices.Collect(all.Latest())
 		slices.Reverse(latestFirst)
 		if !slices.Equal(latestFirst, want) {
-			t.Fatal("from the latest it is another order")
+			t.Fatal("Latest does not return the reverse order of Oldest")
 		}
 		now += InputTimeout
 		previousOverdue := true
@@ -59,7 +60,7 @@
 		for m := range mayOverdue.Oldest() {
 			isOverdue := m.conn.IsOverdue(now)
 			if isOverdue && !previousOverdue {
-				t.Fatal("one that is overdue is behind one that is not")
+				t.Fatal("an overdue connection is behind one that is not overdue")
 			}
 			previousOverdue = isOverdue
 			if isOverdue {
@@ -73,13 +74,15 @@
 			}
 		}
 		if overdue != found {
-			t.Fatalf("%d are overdue, %d are found", overdue, found)
+			t.Fatalf("%d connections are overdue, but the list contains %d of them", overdue, found)
 		}
 	})
 }
 
-// BenchmarkIdleList measures what keeping the order costs a message, by the number of connections, beside a slice:
-// go test -run '^$' -bench IdleList ./internal/eventloop
+// BenchmarkIdleList measures the cost per message of maintaining the order, by the number of connections, and compares
+// it with a slice:
+//
+//	go test -run '^$' -bench IdleList ./internal/eventloop
 func BenchmarkIdleList(b *testing.B) {
 	for _, n := range []int{100, 5000, 20000} {
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -11,10 +11,10 @@
 
 const (
 	readBufferSize = 16 << 10
-	maxReads       = 64 // bounds what a peer that goes on sending can take of an iteration
+	maxReads       = 64 // limits the share of an iteration used by a peer that keeps sending
 )
 
-// DrainReadBuffer hands on what a socket has received and nobody has read, as far as it is there now.
+// DrainReadBuffer reads the data in the receive buffer of a socket, without waiting for more, and passes it to handle.
 func DrainReadBuffer(socket gnet.Conn, handle func(data []byte)) {
 	buffer := make([]byte, readBufferSize)
 	for range maxReads {
@@ -29,9 +29,9 @@
 	}
 }
 
-// ReadPending handles what a connection has received just now, as long as it is open, and reports whether there was
-// anything. It is called before a connection is closed, for messages that cross the close: those sent again on another
-// connection would be late or lost.
+// ReadPending passes data that the socket has already received to handle, as long as the connection is open, and
+// reports whether there was any. It is called before a connection is closed, for messages that cross the close: if they
+// had to be sent again on another connection, they would be late or lost.
 func (c *Conn) ReadPending(handle func(data []byte)) (found bool) {
 	DrainReadBuffer(c.socket, func(data []byte) {
 		found = true
@@ -42,8 +42,8 @@
 	return found
 }
 
-// IsFailedWrite reports whether a connection was closed because a write failed: it may have received something
-// before.
+// IsFailedWrite reports whether a connection was closed because a write failed. Unread data may have been received
+// before that.
 func IsFailedWrite(err error) bool {
 	var call *os.SyscallError
 	return errors.As(err, &call) && strings.HasPrefix(call.Syscall, "write")
