--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -25,9 +25,9 @@
 // errNotTCP is returned for a listening socket that is not a TCP socket.
 var errNotTCP = errors.New("not a TCP listener")
 
-// A HandOver receives an accepted connection and takes ownership of it. Accept calls it sequentially, and accepts the
+// A Handler receives an accepted connection and takes ownership of it. Accept calls it sequentially, and accepts the
 // next connection when it has returned.
-type HandOver func(net.Conn)
+type Handler func(net.Conn)
 
 // An Acceptor accepts the connections of one listening socket.
 type Acceptor struct {
@@ -62,20 +62,20 @@
 // Accept passes connections to the handler until Close is called. It then drains the queue of the listening socket
 // and closes the socket. When Accept returns, every connection that the kernel has accepted has been passed to the
 // handler.
-func (a *Acceptor) Accept(handOver HandOver) {
+func (a *Acceptor) Accept(handle Handler) {
 	for !a.isClosing.Load() {
 		conn, err := a.listener.Accept()
 		switch {
 		case err == nil:
 			a.accepted.Add(1)
-			handOver(conn)
+			handle(conn)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			time.Sleep(acceptRetryInterval) // the connection stays in the queue
 		}
 	}
-	a.drainQueue(handOver)
+	a.drainQueue(handle)
 	_ = a.listener.Close()
 }
 
@@ -86,7 +86,7 @@
 }
 
 // drainQueue passes the connections in the queue of the listening socket to the handler.
-func (a *Acceptor) drainQueue(handOver HandOver) {
+func (a *Acceptor) drainQueue(handle Handler) {
 	raw, err := a.listener.SyscallConn()
 	if err != nil {
 		return
@@ -98,7 +98,7 @@
 			return
 		}
 		a.accepted.Add(1)
-		handOver(conn)
+		handle(conn)
 	}
 }
 
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -10,7 +10,7 @@
 )
 
 // startAcceptor runs Accept on a new goroutine. The channel is closed when Accept returns.
-func startAcceptor(t *testing.T, handOver HandOver) (a *Acceptor, ended chan struct{}) {
+func startAcceptor(t *testing.T, handle Handler) (a *Acceptor, ended chan struct{}) {
 	t.Helper()
 	a, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -19,7 +19,7 @@
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.Accept(handOver)
+		a.Accept(handle)
 	}()
 	t.Cleanup(a.Close)
 	return a, ended
