--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -56,8 +56,8 @@
 	return &Conn{socket: socket, input: inputProgress{openedAt: now}}
 }
 
-// LimitUnread sets whether the connection is closed if the peer leaves more than Loop.MaxUnread bytes of output unread.
-func (c *Conn) LimitUnread(limit bool) { c.limitsUnreadOutput = limit }
+// LimitUnreadOutput sets whether the connection is closed if its peer leaves more than Loop.MaxUnread bytes unread.
+func (c *Conn) LimitUnreadOutput(limit bool) { c.limitsUnreadOutput = limit }
 
 // Socket returns the connection's socket.
 func (c *Conn) Socket() gnet.Conn { return c.socket }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,7 +31,7 @@
 type Loop struct {
 	// Log is the program's log.
 	Log *zap.SugaredLogger
-	// MaxUnread is the maximum number of unread output bytes of a connection for which Conn.LimitUnread is set.
+	// MaxUnread is the maximum number of unread output bytes of a connection for which Conn.LimitUnreadOutput is set.
 	MaxUnread int
 	// AfterIteration is called at the end of each iteration. It may be nil.
 	AfterIteration func()
--- a/internal/frontend/gateway/frontend.go
+++ b/internal/frontend/gateway/frontend.go
@@ -95,7 +95,7 @@
 		conn:     eventloop.NewConn(socket, f.host.Loop.Now()),
 		isAdmin:  isAdmin,
 	}
-	g.conn.LimitUnread(true)
+	g.conn.LimitUnreadOutput(true)
 	socket.SetContext(g)
 	f.gateways.Add(g, &g.membership)
 	return true
--- a/internal/frontend/jsonclient/frontend.go
+++ b/internal/frontend/jsonclient/frontend.go
@@ -71,7 +71,7 @@
 		conn:       eventloop.NewConn(socket, f.host.Loop.Now()),
 		openSetups: make(map[string]bool),
 	}
-	c.conn.LimitUnread(true)
+	c.conn.LimitUnreadOutput(true)
 	socket.SetContext(c)
 	f.clients.Add(c, &c.membership)
 	c.reliabilityPlace = f.byReliability[c.reliability].Add(c)
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -157,7 +157,7 @@
 	lines := 0
 	bed.runIteration(func() {
 		_ = mine.Socket().SetWriteBuffer(4 << 10)
-		mine.LimitUnread(false)                              // neither the bound on what waits for a caller is tested,
+		mine.LimitUnreadOutput(false)                        // neither the bound on what waits for a caller is tested,
 		mine.RecordInput(bed.server.loop.Now(), true, false) // nor how long one may stay silent
 		for ; mine.Socket().OutboundBuffered() < 64<<10; lines++ {
 			bed.server.loop.Write(mine, func(b []byte) []byte { return append(b, jsonMessage(jsonl.Finish, fmt.Sprintf("%016x", lines))...) })
