--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -56,7 +56,8 @@
 	return &Conn{socket: socket, input: inputProgress{openedAt: now}}
 }
 
-// LimitUnreadOutput sets whether the connection is closed if its peer leaves more than Loop.MaxUnread bytes unread.
+// LimitUnreadOutput sets whether the connection is closed if its peer leaves more than Loop.MaxUnreadOutput bytes
+// unread.
 func (c *Conn) LimitUnreadOutput(limit bool) { c.limitsUnreadOutput = limit }
 
 // Socket returns the connection's socket.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,8 +31,8 @@
 type Loop struct {
 	// Log is the program's log.
 	Log *zap.SugaredLogger
-	// MaxUnread is the maximum number of unread output bytes of a connection for which Conn.LimitUnreadOutput is set.
-	MaxUnread int
+	// MaxUnreadOutput is the maximum number of unread output bytes of a connection for which Conn.LimitUnreadOutput is set.
+	MaxUnreadOutput int
 	// AfterIteration is called at the end of each iteration. It may be nil.
 	AfterIteration func()
 
@@ -203,7 +203,7 @@
 		}
 	}
 	c.unflushedIDs = c.unflushedIDs[:0]
-	if c.limitsUnreadOutput && c.state != Closed && c.socket.OutboundBuffered() > l.MaxUnread {
+	if c.limitsUnreadOutput && c.state != Closed && c.socket.OutboundBuffered() > l.MaxUnreadOutput {
 		c.state = Closing // limits the memory used by a peer that sends requests and does not read
 	}
 	if cap(c.output) > maxIdleBuffer {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -219,7 +219,7 @@
 	}
 	s.frontends.host = host
 	maxClients := s.cfg.Sockets*2/3 - reservedSockets
-	s.loop.MaxUnread = s.cfg.MemoryMB << unreadBytesShift / maxClients
+	s.loop.MaxUnreadOutput = s.cfg.MemoryMB << unreadBytesShift / maxClients
 	if s.h248 != nil {
 		maxClients /= 2
 		s.frontends.gateway = gateway.New(host, &administrator{s}, maxClients)
