--- a/internal/call/answer.go
+++ b/internal/call/answer.go
@@ -50,7 +50,7 @@
 	m.Abandoned++
 	m.reportAbandoned(c)
 	m.endOpenCall(c, CallerReleased)
-	c.client.CallForgotten(c.ID)
+	c.client.CallWithdrawn(c.ID)
 	m.notifyAnswered(c, finalAnswer{outcome: Abandoned})
 }
 
--- a/internal/call/doc.go
+++ b/internal/call/doc.go
@@ -10,7 +10,7 @@
 // # Invariants
 //
 //   - One final answer: each offer that Offer accepts gets exactly one of Client.CallEstablished,
-//     Client.CallRejected and Client.CallForgotten, whatever the Decider, the backends and the caller
+//     Client.CallRejected and Client.CallWithdrawn, whatever the Decider, the backends and the caller
 //     do, at the latest in the first Tick at or after the deadline of the call.
 //   - One attempt at a time: a call has at most one attempt in progress. An attempt is canceled or has
 //     ended before the next one starts, and an answer to an earlier attempt is released at its backend.
@@ -44,13 +44,13 @@
 //   - The call is rejected: the end of the attempt in progress, if any, Observer.CallAnswered,
 //     Client.CallRejected.
 //   - The caller abandons the call: Decider.Report, the end of the attempt in progress, if any,
-//     Client.CallForgotten, Observer.CallAnswered.
+//     Client.CallWithdrawn, Observer.CallAnswered.
 //   - An established call is released: Backends.Release unless the backend released it, then
 //     Observer.CallReleased, Observer.AttemptEnded, Decider.Report, and Frontend.NotifyRelease unless the
 //     caller released it.
 //
 // A request that is rejected before a call is opened only causes Observer.CallOffered,
 // Observer.CallAnswered and Client.CallRejected. An offer that is merged with an open call causes
-// Observer.LimitReached and Client.CallForgotten on its earlier connection; one for which Offer returns
+// Observer.LimitReached and Client.CallWithdrawn on its earlier connection; one for which Offer returns
 // ErrIDInUse only causes Observer.LimitReached.
 package call
--- a/internal/call/fixture_test.go
+++ b/internal/call/fixture_test.go
@@ -68,7 +68,7 @@
 	c.record("rejected %s %d %v", id, cause, retryAfter)
 }
 
-func (c *recordingClient) CallForgotten(id string) { c.record("forgotten %s", id) }
+func (c *recordingClient) CallWithdrawn(id string) { c.record("withdrawn %s", id) }
 func (c *recordingClient) Frontend() Frontend      { return c }
 
 func (c *recordingClient) NotifyRelease(_ Client, id string, cause int) {
--- a/internal/call/interfaces.go
+++ b/internal/call/interfaces.go
@@ -29,9 +29,9 @@
 	// CallRejected answers a call that is not established, with a Q.850 cause. The caller is asked to
 	// wait for retryAfter before it retries; 0 means no advice.
 	CallRejected(id string, cause int, retryAfter time.Duration)
-	// CallForgotten reports that no answer will follow on this connection, because the caller abandoned
+	// CallWithdrawn reports that no answer will follow on this connection, because the caller abandoned
 	// the call or repeated the offer on another connection.
-	CallForgotten(id string)
+	CallWithdrawn(id string)
 	// Frontend returns the frontend of the connection.
 	Frontend() Frontend
 }
--- a/internal/call/offer.go
+++ b/internal/call/offer.go
@@ -35,7 +35,7 @@
 	}
 	m.Repeated++
 	m.notifyLimit(LimitRepeatedSetup, r.ID)
-	c.client.CallForgotten(r.ID)
+	c.client.CallWithdrawn(r.ID)
 	c.client = client
 	return nil
 }
--- a/internal/call/offer_test.go
+++ b/internal/call/offer_test.go
@@ -17,7 +17,7 @@
 	}
 	f.manager.CallerDisconnected(f.client)
 	f.manager.AttemptAnswered("s", "x", 0, []byte("sdp"))
-	f.wantMessages(t, "invite s x 0", "forgotten x")
+	f.wantMessages(t, "invite s x 0", "withdrawn x")
 	if fmt.Sprint(other.messages) != "[established x sdp]" {
 		t.Errorf("the new connection received %q", other.messages)
 	}
--- a/internal/call/release_test.go
+++ b/internal/call/release_test.go
@@ -23,9 +23,9 @@
 	f.offer("z")
 	f.manager.CallerDisconnected(f.client)
 	f.wantMessages(t,
-		"invite s x 0", "cancel s x 0", "forgotten x",
+		"invite s x 0", "cancel s x 0", "withdrawn x",
 		"invite s y 0", "established y ", "release s y 16",
-		"invite s z 0", "cancel s z 0", "forgotten z")
+		"invite s z 0", "cancel s z 0", "withdrawn z")
 }
 
 // Releases of unknown calls, for instance after a restart, are forwarded once.
--- a/internal/call/route_test.go
+++ b/internal/call/route_test.go
@@ -120,7 +120,7 @@
 	f.manager.CallerDisconnected(f.client)
 	f.manager.RouteResolved("disconnected", Route{Pools: []int{1}})
 	f.manager.RouteResolved("unknown", Route{Pools: []int{1}})
-	f.wantMessages(t, "rejected rejected 34 2s", "forgotten abandoned", "forgotten disconnected")
+	f.wantMessages(t, "rejected rejected 34 2s", "withdrawn abandoned", "withdrawn disconnected")
 	// Both reports are about the first call: established and ended.
 	if router.openRoutes != 0 || len(f.decider.placed) != 1 || len(f.decider.reports) != 2 {
 		t.Errorf("%d open routes, %d placed calls, reports %+v",
--- a/internal/frontend/gateway/call.go
+++ b/internal/frontend/gateway/call.go
@@ -198,8 +198,8 @@
 	c.fail(code, text)
 }
 
-// CallForgotten implements call.Client. What gives an H.248 call up replies to its transaction itself.
-func (c *gatewayCall) CallForgotten(string) {}
+// CallWithdrawn implements call.Client. What gives an H.248 call up replies to its transaction itself.
+func (c *gatewayCall) CallWithdrawn(string) {}
 
 // Frontend implements call.Client.
 func (c *gatewayCall) Frontend() call.Frontend { return c.frontend }
--- a/internal/frontend/jsonclient/client.go
+++ b/internal/frontend/jsonclient/client.go
@@ -246,9 +246,9 @@
 	c.write(m)
 }
 
-// CallForgotten implements call.Client. It bounds the connection's table: nothing else takes set-ups off it that are
+// CallWithdrawn implements call.Client. It bounds the connection's table: nothing else takes set-ups off it that are
 // given up, or asked for again, on another connection.
-func (c *Client) CallForgotten(id string) { delete(c.openSetups, id) }
+func (c *Client) CallWithdrawn(id string) { delete(c.openSetups, id) }
 
 // Frontend implements call.Client.
 func (c *Client) Frontend() call.Frontend { return c.frontend }
--- a/internal/sim/modelcheck/environment.go
+++ b/internal/sim/modelcheck/environment.go
@@ -117,8 +117,8 @@
 // CallRejected implements call.Client.
 func (cl client) CallRejected(id string, _ int, _ time.Duration) { cl.receiveFinalAnswer(id) }
 
-// CallForgotten implements call.Client.
-func (client) CallForgotten(string) {}
+// CallWithdrawn implements call.Client.
+func (client) CallWithdrawn(string) {}
 
 // Frontend implements call.Client.
 func (cl client) Frontend() call.Frontend { return frontend(cl) }
--- a/internal/sim/virtualtime/clientconn.go
+++ b/internal/sim/virtualtime/clientconn.go
@@ -33,8 +33,8 @@
 	s.after(s.scenario.Network.Client.D(), func() { s.callers.onRejected(id, cause, retryAfter) })
 }
 
-// CallForgotten implements call.Client.
-func (*clientConn) CallForgotten(string) {}
+// CallWithdrawn implements call.Client.
+func (*clientConn) CallWithdrawn(string) {}
 
 // Frontend implements call.Client.
 func (cc *clientConn) Frontend() call.Frontend { return cc.controller.frontend }
