--- a/internal/call/release.go
+++ b/internal/call/release.go
@@ -5,7 +5,7 @@
 // ReleaseByCaller handles a release from a caller on any connection. It ends an established call, abandons
 // an open one, and forwards the release of an unknown call to all backends, at most 256 per second. It
 // reports whether the call was established, as far as is known: it returns true for an established call
-// and for the first release of an unknown call.
+// and for a release of an unknown call that is not a repetition.
 func (m *Manager) ReleaseByCaller(id string, cause int) (established bool) {
 	c := m.calls[id]
 	switch {
--- a/internal/call/state.go
+++ b/internal/call/state.go
@@ -53,7 +53,7 @@
 	establishedAt Time
 }
 
-// An attempt is one attempt to set up a call at a backend.
+// An attempt is one setup of a call at a backend.
 type attempt struct {
 	server    string // "" before the first attempt
 	number    int    // starts at 0; noAttempt before the first attempt
@@ -86,7 +86,7 @@
 // reportInvalidTransition is called for a transition that is not permitted. Tests override it.
 var reportInvalidTransition = func(*call, callState) {}
 
-// isOpen reports whether the call has not had its final answer yet.
+// isOpen reports whether the call has no final answer yet.
 func (c *call) isOpen() bool { return c.state != callEstablished && c.state != callEnded }
 
 // awaitsAttempt reports whether the call is open without an attempt in progress.
--- a/internal/call/types.go
+++ b/internal/call/types.go
@@ -24,7 +24,7 @@
 // A Request is a call offered by a caller.
 type Request struct {
 	ID, Class, Number string
-	PreferredPool     int    // preferred pool, unless a Router chooses the pools
+	PreferredPool     int    // used unless a Router chooses the pools
 	Deadline          Time   // when the caller gives up waiting for an answer
 	Reestablish       bool   // the call was established and dropped before, and is offered again
 	RepeatUnsafe      bool   // the call is not idempotent: running it twice does harm
