--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,7 +31,8 @@
 type Loop struct {
 	// Log is the program's log.
 	Log *zap.SugaredLogger
-	// MaxUnreadOutput is the maximum number of unread output bytes of a connection for which Conn.LimitUnreadOutput is set.
+	// MaxUnreadOutput is the maximum number of unread output bytes of a connection for which
+	// Conn.LimitUnreadOutput is set.
 	MaxUnreadOutput int
 	// AfterIteration is called at the end of each iteration. It may be nil.
 	AfterIteration func()
