--- a/internal/admission/call.go
+++ b/internal/admission/call.go
@@ -28,12 +28,12 @@
 		return
 	}
 	m.place(c)
-	if !c.isDecided { // a call that is rejected at once needs no timer
+	if !c.isDecided { // a call that is rejected immediately needs no timer
 		m.emit(SetTimer{At: c.deadline, Key: c.timerKey})
 	}
 }
 
-// place starts the next attempt of a call, or gives its final answer.
+// place sends the next attempt of a call, or gives the call its final answer.
 func (m *StateMachine) place(c *call) {
 	if c.attempts >= m.settings.MaxAttempts || m.now >= c.deadline {
 		m.fail(c, ReasonExhausted)
@@ -50,14 +50,14 @@
 	s.counts.sent.add()
 	m.overloadControl.RecordSent(m.now, s.ID, s.Pool == c.preferredPool && c.attempts == 1)
 	s.limit.tokens = max(s.limit.tokens-1, -burstSize)
-	s.circuits.free -= float64(m.settings.ControllerCount) // the other controllers send as well
+	s.circuits.free -= float64(m.settings.ControllerCount) // the other controllers send attempts as well
 	if s.needsRampToken(c) {
 		s.ramp.tokens = max(s.ramp.tokens-1, 0)
 	}
 	m.emit(SendAttempt{CallID: c.id, Server: s.ID, Timeout: c.deadline - m.now})
 }
 
-// establishCall records that the attempt of a call is answered.
+// establishCall records that the open attempt of a call was answered.
 func (m *StateMachine) establishCall(e CallEstablished) {
 	c := m.calls.byID[e.CallID]
 	if c == nil || c.state != callAttempting || e.Attempt != c.attempts-1 {
@@ -70,7 +70,7 @@
 	setupTime := e.SetupTime - m.stall
 	hasOvertaken := s.attempts.markOvertaken(c.sentAt - min(m.period, m.latencyThreshold/4))
 	if hasOvertaken && setupTime <= m.latencyThreshold {
-		m.clearSuspicion(s) // the overtaken attempts were lost: the server was not silent
+		m.clearSuspicion(s) // the overtaken attempts were lost: the server was not unresponsive
 	}
 	s.counts.answered.add()
 	m.established.add()
@@ -86,7 +86,7 @@
 	}
 }
 
-// endAttempt records the end of an attempt and, if the call goes on, places it again.
+// endAttempt records the end of an attempt and, unless the call is over, retries the call.
 func (m *StateMachine) endAttempt(e AttemptEnded) {
 	c := m.calls.byID[e.CallID]
 	if c == nil || c.server == nil || e.Attempt != c.attempts-1 {
@@ -95,7 +95,7 @@
 	s, wasEstablished := c.server, c.state == callEstablished
 	wasOvertaken := s.attempts.remove(c)
 	c.endAttempt()
-	if wasEstablished { // its circuit is free again, and likely some of the other controllers' circuits
+	if wasEstablished { // its circuit is free, and probably some of the other controllers' circuits too
 		s.circuits.free += float64(m.settings.ControllerCount)
 	} else {
 		m.unansweredAttempts--
@@ -109,7 +109,7 @@
 	m.retryCall(c, s, e, wasOvertaken)
 }
 
-// reject rejects a call, which its caller may repeat, or fails it if a repeat could run twice.
+// reject rejects a call, so that its caller may retry it, or fails it if a retry could run the call twice.
 func (m *StateMachine) reject(c *call, reason Reason) {
 	if c.mayHaveRunOn != nil && !c.class.isRepeatableEverywhere() {
 		m.fail(c, reason)
@@ -124,7 +124,7 @@
 	m.finish(c)
 }
 
-// finish marks a call as decided and forgets it unless an attempt is open.
+// finish marks a call as decided and deletes it unless it has an open attempt.
 func (m *StateMachine) finish(c *call) {
 	c.isDecided = true
 	delete(m.calls.byTimer, c.timerKey)
@@ -133,7 +133,7 @@
 	}
 }
 
-// retryAfter returns the wait advised to a rejected caller: until a server is likely to have room.
+// retryAfter returns the retry-after time for a call: until some server is likely to have capacity.
 func (m *StateMachine) retryAfter(c *call) time.Duration {
 	wait := m.window
 	for _, s := range m.servers {
--- a/internal/admission/callstate.go
+++ b/internal/admission/callstate.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// This file holds what a StateMachine remembers of a call, and the states of its life. The decisions that
-// lead from one state to another are in the files listed under policy in deploy/balancer.toml.
+// This file defines the per-call state of a StateMachine and its transitions. The decisions that trigger the
+// transitions are in the files listed under policy in deploy/balancer.toml.
 
-// A callState says whether an attempt of a call is open. The methods of call change it:
+// A callState describes the current attempt of a call. The methods of call make the transitions:
 //
 //	from                       to           method
 //	placing                    attempting   startAttempt
@@ -14,13 +14,13 @@
 //	placing                    waiting      startRetryGuard
 //	waiting                    placing      endRetryGuard
 //
-// The final answer, call.isDecided, is independent of it: the caller's deadline may pass while an attempt is
-// open. A decided call is forgotten as soon as no attempt is open.
+// The final answer, call.isDecided, is independent of this state because the caller's deadline may pass while an
+// attempt is open. A decided call is deleted as soon as it has no open attempt.
 type callState int
 
 const (
 	callPlacing     callState = iota // no attempt is open
-	callWaiting                      // no attempt is open and the retry guard runs
+	callWaiting                      // no attempt is open and the retry guard is running
 	callAttempting                   // an attempt is open and unanswered
 	callEstablished                  // an attempt is open and answered
 )
@@ -41,32 +41,32 @@
 	}
 }
 
-// A call is a call that has been offered and is not forgotten yet.
+// A call is a call in progress: offered, and not yet decided with all its attempts ended.
 type call struct {
 	id, number    string
 	class         *class
 	priority      Priority
 	preferredPool int
-	pools         []int // pools that it may use, the preferred first; nil: those of its class
+	pools         []int // permitted pools, the preferred one first; nil: those of its class
 	deadline      Time
 	timerKey      int64
 
 	state     callState
-	isDecided bool // it has its final answer
-	attempts  int  // that were started
+	isDecided bool // the final answer has been given
+	attempts  int  // number of attempts started
 
-	server     *server // of the open attempt; nil: none is open
+	server     *server // server of the open attempt; nil: none is open
 	sentAt     Time    // when the latest attempt was sent
-	isCanceled bool    // the latest attempt is or was canceled
+	isCanceled bool    // the latest attempt has been canceled
 
 	retryNotBefore Time    // end of the retry guard
-	excludedServer *server // of the attempt that failed last
-	lostConnection bool    // that attempt failed by its connection
-	mayHaveRunOn   *server // server of the first attempt that may have run; nil: none
+	excludedServer *server // server of the latest failed attempt
+	lostConnection bool    // that attempt failed because its connection did
+	mayHaveRunOn   *server // server of the first attempt that may have run the call; nil: none
 	mayHaveRunAt   Time    // when that attempt was sent
 }
 
-// startAttempt leads from placing to attempting.
+// startAttempt moves the call from placing to attempting.
 func (c *call) startAttempt(s *server, now Time) {
 	c.state = callAttempting
 	c.attempts++
@@ -75,25 +75,25 @@
 	c.isCanceled = false
 }
 
-// establish leads from attempting to established.
+// establish moves the call from attempting to established.
 func (c *call) establish() { c.state = callEstablished }
 
-// endAttempt leads from attempting or established to placing.
+// endAttempt moves the call from attempting or established to placing.
 func (c *call) endAttempt() {
 	c.state = callPlacing
 	c.server = nil
 }
 
-// startRetryGuard leads from placing to waiting.
+// startRetryGuard moves the call from placing to waiting.
 func (c *call) startRetryGuard(until Time) {
 	c.state = callWaiting
 	c.retryNotBefore = until
 }
 
-// endRetryGuard leads from waiting to placing.
+// endRetryGuard moves the call from waiting to placing.
 func (c *call) endRetryGuard() { c.state = callPlacing }
 
-// A callTable holds the calls that are not forgotten, by their identifiers and by the keys of their timers.
+// A callTable indexes the calls in progress by identifier and by timer key.
 type callTable struct {
 	byID    map[string]*call
 	byTimer map[int64]*call // without decided calls
@@ -104,7 +104,7 @@
 	return callTable{byID: make(map[string]*call), byTimer: make(map[int64]*call)}
 }
 
-// add gives a new call the key of its timer and stores it.
+// add assigns a timer key to a new call and stores the call.
 func (t *callTable) add(c *call) {
 	t.lastKey++
 	c.timerKey = t.lastKey
@@ -112,14 +112,14 @@
 	t.byTimer[c.timerKey] = c
 }
 
-// A dialedNumber is a number that was dialed recently.
+// A dialedNumber tracks the recent calls to a number.
 type dialedNumber struct {
 	firstDialed Time
 	expires     Time
 	calls       int
 }
 
-// A class is a Class with the priority of its calls.
+// A class is a Class with the default priority of its calls.
 type class struct {
 	Class
 	priority Priority
--- a/internal/admission/engine.go
+++ b/internal/admission/engine.go
@@ -5,78 +5,78 @@
 	"time"
 )
 
-// An Engine wraps a StateMachine for a host that prefers calls to events and actions: Place hands in a call, Report
-// says what became of an attempt, Tick lets time pass. It keeps the timers and makes no decision.
-// Like the StateMachine it is not safe for concurrent use.
+// An Engine wraps a StateMachine for a host that prefers method calls to events and actions: Place submits a call,
+// Report reports the outcome of an attempt, Tick advances time. It manages the timers and makes no decisions itself.
+// Like StateMachine, it is not safe for concurrent use.
 type Engine struct {
 	machine  *StateMachine
 	timers   timerHeap
-	deferred []Decision // about other calls than that of the method which caused them; Tick returns them
+	deferred []Decision // about calls other than the one a method was called for; Tick returns them
 	log      func(string)
-	// OnRateLimitChange, if not nil, is called for each change of a server's rate limit.
+	// OnRateLimitChange, if not nil, is called on each change of a server's rate limit.
 	OnRateLimitChange func(RateLimitChanged)
 }
 
-// A Request is a call to place.
+// A Request describes a call to place.
 type Request struct {
 	CallID        string // unique among the open calls
 	Class         string // name of a Class
 	Number        string // the called number; "": unknown
-	PreferredPool int    // the pool of first choice
-	Pools         []int  // pools that the call may use, the preferred first; nil: those of its class
-	Deadline      Time   // the caller abandons the call then
-	Reestablish   bool   // the call was established before and was interrupted
-	Emergency     bool   // an emergency call, which has the priority of a call to reestablish
+	PreferredPool int    // pool of first choice
+	Pools         []int  // permitted pools, the preferred one first; nil: those of its class
+	Deadline      Time   // time at which the caller abandons the call
+	Reestablish   bool   // the call had been established and was interrupted
+	Emergency     bool   // an emergency call; it has the same priority as a call to reestablish
 }
 
-// A ReportKind says what an AttemptReport is about.
+// A ReportKind is the kind of an AttemptReport.
 type ReportKind int
 
 // Kinds of reports.
 const (
 	ReportEstablished ReportKind = iota // the attempt is answered and the call established
 	ReportEnded                         // the attempt has ended with Result
-	ReportAbandoned                     // the caller has left; only CallID counts
-	ReportLoad                          // the server has reported its load; only Server and Load count
+	ReportAbandoned                     // the caller has hung up; only CallID is used
+	ReportLoad                          // the server has reported its load; only Server and Load are used
 )
 
-// An AttemptReport says what became of an attempt.
+// An AttemptReport reports the outcome of an attempt.
 type AttemptReport struct {
 	CallID, Server string
-	Attempt        int // number of the attempt; the first of a call is 0
+	Attempt        int // attempts of a call are numbered from 0
 	Kind           ReportKind
 	Result         AttemptResult
 	Cause          FailureCause
-	RetryAfter     time.Duration // retry-after time that a busy server asks for; 0: none
+	RetryAfter     time.Duration // retry-after time requested by a busy server; 0: none
 	Elapsed        time.Duration // since the start of the attempt
 	Load           LoadReport
-	Final          bool // the call has ended and needs no answer
+	Final          bool // the call has ended and needs no further answer
 }
 
-// A DecisionKind says what to do with a call.
+// A DecisionKind is the kind of a Decision.
 type DecisionKind int
 
 // Kinds of decisions.
 const (
-	DecisionNone   DecisionKind = iota // nothing now; the call stays open, and Tick may return a decision on it
-	DecisionSend                       // start an attempt at Server that times out after Wait
+	DecisionNone   DecisionKind = iota // do nothing for now; Tick may return a later decision on the call
+	DecisionSend                       // send an attempt to Server, with Wait as its timeout
 	DecisionReject                     // reject the call, with Wait as its retry-after time
 	DecisionFail                       // fail the call, with Wait as its retry-after time
 	DecisionCancel                     // cancel the open attempt
 )
 
-// A Decision says what to do with one call.
+// A Decision tells the host what to do with one call.
 type Decision struct {
 	CallID  string
 	Kind    DecisionKind
-	Server  string        // of Send
-	Attempt int           // of Cancel
-	Wait    time.Duration // of Send, Reject and Fail
-	Reason  Reason        // of Reject, Fail and Cancel
+	Server  string        // for DecisionSend
+	Attempt int           // for DecisionCancel
+	Wait    time.Duration // for DecisionSend, DecisionReject and DecisionFail
+	Reason  Reason        // for DecisionReject, DecisionFail and DecisionCancel
 }
 
-// NewEngine returns the Engine of a controller that starts. The seed fixes its random draws. Messages for the
-// operators go to log. The error wraps a *SettingsError.
+// NewEngine returns the Engine of a controller that starts at now. The seed initializes its random number generator,
+// and log receives messages for the operators. The error wraps a *SettingsError.
 func NewEngine(now Time, settings Settings, seed uint64, log func(string)) (*Engine, error) {
 	machine, err := NewStateMachine(settings, seed)
 	if err != nil {
@@ -90,10 +90,10 @@
 // LatencyThreshold returns the setup time above which an answer is evidence of overload.
 func (e *Engine) LatencyThreshold() time.Duration { return e.machine.latencyThreshold }
 
-// SetOverloadControl makes the decisions depend on an overload control from now on.
+// SetOverloadControl sets the overload control that all later decisions consult.
 func (e *Engine) SetOverloadControl(control OverloadControl) { e.machine.overloadControl = control }
 
-// Place hands in a call and returns the decision on it.
+// Place submits a call and returns the decision on it.
 func (e *Engine) Place(now Time, r Request) Decision {
 	return e.handle(now, r.CallID, CallOffered{
 		CallID:        r.CallID,
@@ -106,12 +106,12 @@
 	})
 }
 
-// Report records what became of an attempt and returns the decision that follows for its call.
+// Report records the outcome of an attempt and returns the resulting decision on its call.
 func (e *Engine) Report(now Time, r AttemptReport) Decision {
 	return e.handle(now, r.CallID, r.event())
 }
 
-// event returns the event that a report stands for.
+// event converts the report to the corresponding event.
 func (r AttemptReport) event() Event {
 	switch r.Kind {
 	case ReportEstablished:
@@ -135,7 +135,7 @@
 	}
 }
 
-// Tick fires the timers that are due and returns the decisions that follow, after those deferred before.
+// Tick fires the timers that are due. It returns the deferred decisions, then those that result from the timers.
 func (e *Engine) Tick(now Time) []Decision {
 	decisions := e.deferred
 	e.deferred = nil
@@ -146,8 +146,8 @@
 	return decisions
 }
 
-// NextDeadline returns the time at which Tick is due; 0: at once. There always is one, as the StateMachine's
-// periods do not end.
+// NextDeadline returns the time at which Tick is due; 0: immediately. There always is one, because the StateMachine
+// always has a timer set for the end of its current period.
 func (e *Engine) NextDeadline() Time {
 	if len(e.deferred) > 0 || len(e.timers) == 0 {
 		return 0
@@ -155,13 +155,13 @@
 	return e.timers[0].At
 }
 
-// UpdateServers brings the server list: all of it if full, else the servers that have changed.
+// UpdateServers updates the server list. If full, servers is the whole list, else only the servers that have changed.
 func (e *Engine) UpdateServers(now Time, servers []Server, full bool) {
 	update := ServersUpdated{Full: full, Cached: full, Servers: servers}
 	e.deferred = append(e.deferred, e.apply(e.machine.Handle(now, update))...)
 }
 
-// handle applies an event about a call, returns the first decision on that call and defers all others.
+// handle applies an event, returns the first decision on the given call and defers all others.
 func (e *Engine) handle(now Time, callID string, event Event) Decision {
 	first := Decision{CallID: callID}
 	for _, decision := range e.apply(e.machine.Handle(now, event)) {
@@ -174,7 +174,7 @@
 	return first
 }
 
-// apply returns the decisions among actions, sets timers, and passes on log messages and changes of rate limits.
+// apply converts actions to decisions, sets timers, and forwards log messages and rate limit changes.
 func (e *Engine) apply(actions []Action) (decisions []Decision) {
 	decide := func(d Decision) { decisions = append(decisions, d) }
 	for _, action := range actions {
@@ -200,7 +200,7 @@
 	return decisions
 }
 
-// A timerHeap is a container/heap of timers, the next one first.
+// A timerHeap implements heap.Interface, ordered by the time at which the timers are due.
 type timerHeap []SetTimer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	minWindowPeriods = 30    // a rate is estimated over at least so many periods
-	minSamples       = 5     // a window holds so many offered calls a server; so many answers make a rate
-	peakDecay        = 0.998 // factor by which a peak rate shrinks each period
+	minWindowPeriods = 30    // minimum number of periods over which a rate is estimated
+	minSamples       = 5     // sufficient in a window: offered calls per server, or answers of a server
+	peakDecay        = 0.998 // factor by which a peak rate decays each period
 )
 
-// span returns the seconds that the counters of a server cover.
+// span returns the time in seconds that the counters of a server cover.
 func (m *StateMachine) span(s *server) float64 {
 	covered := max(m.now-s.counts.since, m.window/3)
 	return min(covered, time.Duration(m.windowPeriods)*m.period).Seconds()
 }
 
-// rate returns the events a second that a counter of a server estimates.
+// rate estimates the events per second from a counter of a server.
 func (m *StateMachine) rate(s *server, n *slidingCounter) float64 { return float64(n.sum) / m.span(s) }
 
-// adjustWindow lengthens the window while it holds too few calls to estimate a rate.
+// adjustWindow lengthens the window while it has too few calls to estimate a rate, else shortens it again.
 func (m *StateMachine) adjustWindow() {
 	m.offered.roll(m.windowPeriods)
 	if m.offered.sum < minSamples*len(m.servers) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// updatePeakRates lets the peaks decay and raises that over all servers.
+// updatePeakRates decays all peak rates and raises the one over all servers to the current rate.
 func (m *StateMachine) updatePeakRates() {
 	minPeak := m.minProbeRate * minRateShare
 	maps.DeleteFunc(m.poolPeakRates, func(_ int, rate float64) bool { return rate < minPeak })
@@ -44,7 +44,7 @@
 	}
 }
 
-// updatePoolPeak raises the peak of a server's pool to the rate at which the server answers.
+// updatePoolPeak raises the peak rate of a server's pool to the rate at which the server answers.
 func (m *StateMachine) updatePoolPeak(s *server, rate float64) {
 	hasEstimate := m.now-s.counts.since >= m.window || s.counts.answered.sum >= minSamples
 	if hasEstimate && !s.ramp.inSlowStart {
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// applyLoadReport applies a server's report of its circuits and its queue. A long delay shows overload.
+// applyLoadReport applies a load report. A long queue delay is evidence of overload.
 func (m *StateMachine) applyLoadReport(s *server, load LoadReport) {
 	if load.FreeCircuits.isUsable() {
 		m.applyCircuits(s, load)
@@ -27,7 +27,7 @@
 	}
 }
 
-// queueDelay derives the delay of a server's queue, a window at most, from the figures that it reports.
+// queueDelay derives a server's queue delay from the figures that it reports, capped at one window.
 func (m *StateMachine) queueDelay(s *server, load LoadReport) (delay time.Duration, isKnown bool) {
 	if load.Capacity.isUsable() {
 		s.maxCapacity = max(s.maxCapacity, load.Capacity.Value)
--- a/internal/admission/overloadcontrol.go
+++ b/internal/admission/overloadcontrol.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// A Priority ranks a call in overload: 0, the lowest, is a redialed call, 1 a normal one, 2 one of a class of the
-// highest weight, 3 an emergency call or one that is established again after a failure.
+// A Priority ranks a call under overload: 0, the lowest, is a redialed call, 1 a normal call, 2 a call of a class
+// with the highest weight, and 3 an emergency call or a call that is reestablished after a failure.
 type Priority int
 
-// An OverloadControl holds calls back for all controllers together. A StateMachine calls its methods within Handle;
+// An OverloadControl throttles calls for all controllers together. A StateMachine calls its methods within Handle, so
 // they must not block and must not call the StateMachine.
 type OverloadControl interface {
 	// RecordOffered records a new call that prefers a server.
 	RecordOffered(now Time, server string, priority Priority)
-	// RecordSent records an attempt; first: it is the call's first and goes to the preferred pool.
+	// RecordSent records an attempt. first means that it is the call's first one and goes to the preferred pool.
 	RecordSent(now Time, server string, first bool)
-	// RecordResult records that an attempt is no longer unanswered: it established its call after took, or ended.
-	RecordResult(now Time, server string, established bool, took time.Duration)
+	// RecordResult records that an unanswered attempt established its call or ended, elapsed after its start.
+	RecordResult(now Time, server string, established bool, elapsed time.Duration)
 	// RecordOverload records evidence that a server is overloaded.
 	RecordOverload(now Time, server string)
-	// Throttle returns the reason to hold a call back from a server, "" if there is none. It is asked only about
-	// servers that the controller would use by its own evidence, apart from its rate limit. If known is true, the
-	// answer replaces that limit.
+	// Throttle returns the reason to withhold a call from a server, "" if there is none. It is called only for
+	// servers that the controller itself considers available, its own rate limit aside. If known is true, the
+	// answer replaces that rate limit.
 	Throttle(now Time, server string, priority Priority, first bool) (reason Reason, known bool)
 }
 
-// noOverloadControl is the OverloadControl of a controller that decides on its own.
+// noOverloadControl is the OverloadControl of a controller that decides independently of the others.
 type noOverloadControl struct{}
 
 func (noOverloadControl) RecordOffered(Time, string, Priority)                 {}
--- a/internal/admission/priority.go
+++ b/internal/admission/priority.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	maxDialedNumbers  = 8192 // numbers that are remembered
-	maxCallsPerNumber = 2    // more calls to a number come from different callers
+	maxDialedNumbers  = 8192 // bound on the dialed numbers that are tracked
+	maxCallsPerNumber = 2    // any further calls to a number come from different callers
 )
 
 // Priorities of calls, the lowest first.
 const (
-	priorityRedial    Priority = iota // redialed by its caller after the latency objective has passed
-	priorityNormal                    // a class below the highest weight
-	priorityHigh                      // a class of the highest weight
-	priorityEmergency                 // an emergency call, or one that is established again after a failure
+	priorityRedial    Priority = iota // redialed after the latency objective, or one of many to a number
+	priorityNormal                    // a call of a class below the highest weight
+	priorityHigh                      // a call of a class with the highest weight
+	priorityEmergency                 // an emergency call, or one that is reestablished after a failure
 )
 
 func prioritizeClasses(classes []Class) map[string]*class {
@@ -31,7 +31,7 @@
 	return prioritized
 }
 
-// isHeldBack reports whether a server must not receive an attempt for the call now.
+// isHeldBack reports whether the server must not receive an attempt for the call at the moment.
 func (m *StateMachine) isHeldBack(s *server, c *call) bool {
 	isPreferred := s.Pool == c.preferredPool
 	switch {
@@ -51,20 +51,20 @@
 	return m.exceedsRateLimit(s, c)
 }
 
-// hasFullQueue reports whether a server, at its peak rate, could not answer another attempt in time.
+// hasFullQueue reports whether a server, even at its peak rate, could not answer another attempt in time.
 func (m *StateMachine) hasFullQueue(s *server, c *call) bool {
 	maxPending := burstSize + max(m.poolPeakRates[s.Pool]*m.maxQueueDelay(c), s.limit.provenBurst)
 	return float64(len(s.attempts.pending)) >= maxPending
 }
 
-// isOverloadedFor applies the rule of hasFullQueue to all servers together.
+// isOverloadedFor applies the check of hasFullQueue to all servers together.
 func (m *StateMachine) isOverloadedFor(c *call) bool {
 	maxUnanswered := burstSize + m.peakRate*m.maxQueueDelay(c)
 	isLimited := c.priority < priorityEmergency && m.peakRate > 0
 	return isLimited && float64(m.unansweredAttempts) >= maxUnanswered
 }
 
-// maxQueueDelay returns the seconds for which a call may wait behind others.
+// maxQueueDelay returns the time in seconds that a call may wait behind others.
 func (m *StateMachine) maxQueueDelay(c *call) float64 {
 	if c.priority >= priorityHigh {
 		return (c.class.LatencyObjective / 2).Seconds()
@@ -72,7 +72,7 @@
 	return m.latencyThreshold.Seconds()
 }
 
-// isRedial reports whether a call repeats one that is late by now, or is one of many to the same number.
+// isRedial reports whether a call repeats one that is already late, or is one of many to the same number.
 func (m *StateMachine) isRedial(c *call, isMarkedRedial bool) bool {
 	n := m.dialedNumbers[c.number]
 	if n == nil {
@@ -86,7 +86,7 @@
 	return n.calls > maxCallsPerNumber || isLate
 }
 
-// isDestinationBusy reports whether the called number was busy recently. One call a window may probe it.
+// isDestinationBusy reports whether the called number was busy recently. One call per window may probe it.
 func (m *StateMachine) isDestinationBusy(c *call) bool {
 	probeAt, isKnown := m.busyNumbers[c.number]
 	if isKnown && m.now >= probeAt {
--- a/internal/admission/ratelimit.go
+++ b/internal/admission/ratelimit.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	burstSize        = 2    // attempts that a server with a rate limit may receive at once
-	normalShare      = 0.92 // share of the rate limit open to calls below priorityHigh
-	highShare        = 1.2  // share of the rate limit open to calls of priorityHigh
-	minRateShare     = 0.25 // a new rate limit is at least this share of the recent rate
-	recoveryStep     = 0.03 // growth of a rate limit in a period without overload
+	burstSize        = 2    // attempts that a rate-limited server may receive at once
+	normalShare      = 0.92 // share of the rate limit available to calls below priorityHigh
+	highShare        = 1.2  // share of the rate limit available to calls of priorityHigh
+	minRateShare     = 0.25 // minimum of a new rate limit as a share of the recent rate
+	recoveryStep     = 0.03 // growth of a rate limit per period without overload
 	healthyTolerance = 50   // setup times that differ by 1/50 of the latency threshold count as equal
 )
 
-// recordOverload limits a server to the rate at which it answers, less what clears the wait in a window.
+// recordOverload limits a server to its answer rate, minus the capacity needed to clear the wait in a window.
 func (m *StateMachine) recordOverload(s *server, wait time.Duration) {
 	limit := &s.limit
 	if limit.isUnlimited() {
@@ -30,14 +30,14 @@
 		m.rate(s, &s.counts.offered), wait.Round(time.Millisecond))
 }
 
-// suspectOverload limits a silent server. clearSuspicion undoes it if only the path to the server failed.
+// suspectOverload limits a silent server. clearSuspicion reverts it if only the path to the server failed.
 func (m *StateMachine) suspectOverload(s *server, wait time.Duration) {
 	before := cmp.Or(s.limit.beforeSuspicion, s.limit.snapshot())
 	m.recordOverload(s, wait)
 	s.limit.beforeSuspicion = before
 }
 
-// clearSuspicion restores the rate limit after a connection, an attempt or an answer was lost.
+// clearSuspicion restores the rate limit when the silence was due to a lost connection, attempt or answer.
 func (m *StateMachine) clearSuspicion(s *server) {
 	if before := s.limit.beforeSuspicion; before != nil {
 		m.emit(RateLimitChanged{s.ID, before.rate, ReasonSuspicionCleared})
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordHealthy widens the burst of a server that answers as quickly as ever while its tokens are used up.
+// recordHealthy increases the burst of a server that still answers at minimum latency while out of tokens.
 func (m *StateMachine) recordHealthy(s *server) {
 	slowest := s.responses.minSetupTime + m.latencyThreshold/healthyTolerance
 	if s.limit.isUnlimited() && s.limit.tokens < 1 && s.responses.lastSetupTime <= slowest {
@@ -54,7 +54,7 @@
 	}
 }
 
-// probeRate is the lowest rate limit of a server: lower than minProbeRate where its pool answers little.
+// probeRate returns a server's minimum rate limit: below minProbeRate if the peak rate of its pool is low.
 func (m *StateMachine) probeRate(s *server) float64 {
 	if peak, isKnown := m.poolPeakRates[s.Pool]; isKnown {
 		return min(max(peak, m.minProbeRate)*minRateShare, m.minProbeRate)
@@ -62,7 +62,7 @@
 	return m.minProbeRate
 }
 
-// maxTokens is the size of a server's token bucket.
+// maxTokens returns the size of a server's token bucket.
 func (m *StateMachine) maxTokens(s *server) float64 {
 	if s.limit.isUnlimited() {
 		return burstSize + max(m.poolPeakRates[s.Pool]*m.latencyThreshold.Seconds(), s.limit.provenBurst)
@@ -70,7 +70,7 @@
 	return max(burstSize, burstSize*s.limit.rate*m.period.Seconds())
 }
 
-// recoverRate raises the rate limit after a period without overload, and in the end removes it.
+// recoverRate raises the rate limit after a period without overload, and finally removes it.
 func (m *StateMachine) recoverRate(s *server) {
 	limit := &s.limit
 	sinceOverload := m.now - limit.overloadedAt
@@ -90,7 +90,7 @@
 	}
 }
 
-// exceedsRateLimit reports whether an attempt would exceed the share of the rate limit open to the call.
+// exceedsRateLimit reports whether an attempt would exceed the call's share of the rate limit.
 func (m *StateMachine) exceedsRateLimit(s *server, c *call) bool {
 	share, minTokens := normalShare, 1.0
 	switch c.priority {
--- a/internal/admission/responsiveness.go
+++ b/internal/admission/responsiveness.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const maxProbeDoublings = 8 // bound on how often the interval between probes doubles
+const maxProbeDoublings = 8 // maximum number of times that the probe interval doubles
 
-// recordAnswer records an answer of any kind. It confirms a suspicion unless attempts still wait too long.
+// recordAnswer records an answer of any kind. It confirms a suspicion unless an attempt still waits too long.
 func (m *StateMachine) recordAnswer(s *server) {
 	s.responses.lastAnswer = m.now
 	if m.oldestWait(s) <= m.latencyThreshold {
@@ -15,13 +15,13 @@
 	}
 }
 
-// hasAnsweredQuickly reports whether a server has established a call quickly just now.
+// hasAnsweredQuickly reports whether a server has recently established a call, and quickly.
 func (m *StateMachine) hasAnsweredQuickly(s *server) bool {
 	isRecent := m.now-s.responses.lastEstablished < m.latencyThreshold
 	return isRecent && s.responses.lastSetupTime < m.quickSetupTime
 }
 
-// oldestWait returns the wait of the oldest pending attempt, half of it for one that may be lost.
+// oldestWait returns the wait of the oldest pending attempt, halved for a single one that may be lost.
 func (m *StateMachine) oldestWait(s *server) time.Duration {
 	pending := s.attempts.pending
 	if len(pending) == 0 {
@@ -34,7 +34,7 @@
 	return wait
 }
 
-// isProbeDue reports whether a stuck server that was quick before may receive another attempt.
+// isProbeDue reports whether a stuck server that used to answer quickly may receive another attempt.
 func (m *StateMachine) isProbeDue(s *server) bool {
 	pending := s.attempts.pending
 	interval := m.latencyThreshold << min(len(pending)-1, maxProbeDoublings)
@@ -42,7 +42,7 @@
 	return isDue && s.responses.lastSetupTime < m.quickSetupTime
 }
 
-// isUnresponsive reports whether a server has stopped answering, rather than being one of many late ones.
+// isUnresponsive reports whether a server has stopped answering and is not merely one of several slow ones.
 func (m *StateMachine) isUnresponsive(s *server) bool {
 	pending := s.attempts.pending
 	if len(pending) == 0 || m.now-max(s.responses.lastAnswer, pending[0].sentAt) <= m.unresponsiveAfter {
@@ -55,7 +55,7 @@
 	return len(pending) > 1 || !slices.ContainsFunc(m.servers, isOtherLate)
 }
 
-// cancelStuckAttempts cancels lost attempts, and those at unresponsive servers that another would take.
+// cancelStuckAttempts cancels lost attempts, and attempts at unresponsive servers that another can take over.
 func (m *StateMachine) cancelStuckAttempts() {
 	if !m.settings.CanCancel {
 		return
@@ -67,7 +67,7 @@
 		if !m.isUnresponsive(s) {
 			continue
 		}
-		m.logServer(s, "answers nothing")
+		m.logServer(s, "not responding")
 		for _, c := range s.attempts.pending {
 			if m.hasAlternative(c) {
 				m.cancelAttempt(c, ReasonServerUnresponsive)
@@ -76,7 +76,7 @@
 	}
 }
 
-// cancelAttempt cancels a call's open attempt if another is permitted and has time to succeed.
+// cancelAttempt cancels a call's open attempt if a retry is permitted and has time to succeed.
 func (m *StateMachine) cancelAttempt(c *call, reason Reason) {
 	mayRepeat := c.attempts < m.settings.MaxAttempts && c.class.Repeatability != NonRepeatable
 	hasTime := m.now+m.settings.RetryGuard+m.latencyThreshold <= c.deadline
@@ -88,7 +88,7 @@
 	m.emit(CancelAttempt{CallID: c.id, Attempt: c.attempts - 1, Reason: reason})
 }
 
-// hasAlternative reports whether another server that answers quickly would take the call now.
+// hasAlternative reports whether another server that answers quickly can take the call now.
 func (m *StateMachine) hasAlternative(c *call) bool {
 	return slices.ContainsFunc(m.servers, func(s *server) bool {
 		return s != c.server && m.mayServe(s, c) && m.hasAnsweredQuickly(s) && !m.isHeldBack(s, c)
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -1,7 +1,7 @@
 package admission
 
-// retryCall updates what is known of a server whose attempt did not establish its call, and places the call
-// again: after the retry guard if the attempt may still be running.
+// retryCall records a failed attempt at a server and retries the call. If the attempt may still be running,
+// the call first waits for the retry guard.
 func (m *StateMachine) retryCall(c *call, s *server, e AttemptEnded, wasOvertaken bool) {
 	c.excludeServer(s, e, wasOvertaken)
 	switch e.Result {
@@ -28,7 +28,7 @@
 	m.place(c)
 }
 
-// excludeServer records which servers the call's next attempt must avoid.
+// excludeServer records the servers that the next attempt of the call must avoid.
 func (c *call) excludeServer(s *server, e AttemptEnded, wasOvertaken bool) {
 	c.excludedServer = s
 	if wasOvertaken {
@@ -43,9 +43,9 @@
 func (m *StateMachine) recordBusy(s *server, e AttemptEnded) {
 	m.recordAnswer(s)
 	switch {
-	case e.Cause == CauseNoCircuit: // its processor may be idle
+	case e.Cause == CauseNoCircuit: // the processor may be idle
 		s.circuits.markExhausted(m.now+m.latencyThreshold, m.now+m.window)
-	case m.hasAnsweredQuickly(s): // what it accepts, it answers
+	case m.hasAnsweredQuickly(s): // it still answers the attempts that it accepts
 		m.recordOverload(s, m.latencyThreshold)
 	default:
 		m.recordOverload(s, m.window)
@@ -63,7 +63,7 @@
 	}
 }
 
-// startRetryGuard delays the next attempt of a call, as the last one may still be running.
+// startRetryGuard delays the next attempt of a call because the last one may still be running.
 func (m *StateMachine) startRetryGuard(c *call) {
 	c.startRetryGuard(m.now + m.settings.RetryGuard)
 	if c.retryNotBefore >= c.deadline || c.class.Repeatability == NonRepeatable {
@@ -73,7 +73,7 @@
 	m.emit(SetTimer{At: c.retryNotBefore, Key: c.timerKey})
 }
 
-// deduplicates reports whether a server would discard a repeat of a call that may have run.
+// deduplicates reports whether a server recognizes and discards a repeat of a call that may have run.
 func (m *StateMachine) deduplicates(s *server, c *call) bool {
 	isInTime := m.now-c.mayHaveRunAt < c.class.DeduplicationWindow
 	isInScope := c.class.DeduplicationScope.includes(c.mayHaveRunOn.Server, s.Server)
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// selectServer returns an open server of the call's first pool that has one, else of two drawn, else nil.
+// selectServer returns an open server of the first pool that has one, else the better of two drawn, else nil.
 func (m *StateMachine) selectServer(c *call) *server {
 	open, excluded := m.openServers(c)
 	for _, pool := range append([]int{c.preferredPool}, c.pools...) {
@@ -20,7 +20,7 @@
 	return first
 }
 
-// openServers returns the servers open to a call and, apart, that of its last attempt if it was disconnected.
+// openServers returns the servers open to a call and, separately, the one to which it lost the connection.
 func (m *StateMachine) openServers(c *call) (open []*server, excluded *server) {
 	isOverloaded := m.isOverloadedFor(c)
 	m.rejectReason = ReasonNoServer
@@ -44,7 +44,7 @@
 	return open, excluded
 }
 
-// drawServer draws a server at random, weighted by its circuits in use where they are reported.
+// drawServer draws a server at random, weighted by the circuits in use that it reports.
 func (m *StateMachine) drawServer(open []*server) *server {
 	drawn, sum := open[0], 0.0
 	for _, s := range open {
@@ -57,7 +57,7 @@
 	return drawn
 }
 
-// mayServe reports whether a server is active, in the call's pools, and safe for a call that may have run.
+// mayServe reports whether a server is active, in a permitted pool, and safe for a call that may have run.
 func (m *StateMachine) mayServe(s *server, c *call) bool {
 	allows := func(pools []int) bool { return pools == nil || slices.Contains(pools, s.Pool) }
 	isPermitted := allows(c.class.Pools) && allows(c.pools)
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// newServer returns a server of which nothing is known but its listing.
+// newServer returns the initial state of a listed server.
 func (m *StateMachine) newServer(listing Server) *server {
 	s := &server{
 		Server:    listing,
@@ -21,7 +21,7 @@
 	return s
 }
 
-// findServer returns nil for a server that is not listed.
+// findServer returns nil if the server is not listed.
 func (m *StateMachine) findServer(id string) *server {
 	if i := slices.IndexFunc(m.servers, func(s *server) bool { return s.ID == id }); i >= 0 {
 		return m.servers[i]
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// updateServers applies a server list or, if the watch failed, schedules another.
+// updateServers applies a server list or, if the watch failed, schedules a new watch.
 func (m *StateMachine) updateServers(e ServersUpdated) {
 	if e.Failed {
 		m.emit(SetTimer{At: m.now + m.window, Key: watchRetryTimerKey})
@@ -47,7 +47,7 @@
 	}
 }
 
-// updateServer adds or updates a server. One that has restarted keeps nothing but its open attempts.
+// updateServer adds or updates a server. A restarted server is reset except for its open attempts.
 func (m *StateMachine) updateServer(listing Server, isFullList bool) {
 	s := m.findServer(listing.ID)
 	switch {
--- a/internal/admission/serverstate.go
+++ b/internal/admission/serverstate.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// This file holds what a StateMachine remembers of a server. Its types store and return values;
-// the decisions that use them are in the files listed under policy in deploy/balancer.toml.
+// This file defines the per-server state of a StateMachine. Its types only store and return values; the decisions
+// based on them are in the files listed under policy in deploy/balancer.toml.
 
-// A server is what this controller knows of one server of the list.
+// A server is this controller's state of one listed server.
 type server struct {
 	Server
 	counts       attemptCounts
@@ -18,20 +18,20 @@
 	responses    responseHistory
 	attempts     openAttempts
 	circuits     circuitReport
-	maxCapacity  float64 // highest capacity that it has reported, in attempts a second
-	backoffUntil Time    // it receives no attempt before
-	nextLogAt    Time    // no log message mentions it before
+	maxCapacity  float64 // highest capacity reported, in attempts per second
+	backoffUntil Time    // no attempt is sent to it before this time
+	nextLogAt    Time    // no message about it is logged before this time
 }
 
-// isListedAs reports whether a line of the server list is about the server.
+// isListedAs reports whether an entry of the server list describes the server.
 func (s *server) isListedAs(listing Server) bool { return listing.ID == s.ID }
 
-// backOff keeps attempts from the server until a time, or a later one that was set before.
+// backOff withholds attempts from the server until a time, or until a later time that was set before.
 func (s *server) backOff(until Time) { s.backoffUntil = max(s.backoffUntil, until) }
 
 // attemptCounts counts the attempts that concern one server.
 type attemptCounts struct {
-	since    Time           // start of the counts
+	since    Time           // time at which counting started
 	offered  slidingCounter // new calls that prefer the server
 	sent     slidingCounter
 	answered slidingCounter
@@ -44,20 +44,20 @@
 	a.answered.roll(maxPeriods)
 }
 
-// A rateLimit bounds the attempts that this controller sends to one server: by a token bucket, and by the
+// A rateLimit bounds the attempts that this controller sends to one server, both by a token bucket and by the
 // number of attempts in a window.
 type rateLimit struct {
-	rate            float64        // attempts a second; +Inf: no limit
+	rate            float64        // attempts per second; +Inf: no limit
 	tokens          float64        // attempts that may be sent at once
-	rounding        float64        // random part of an attempt, added to what a window admits
-	provenBurst     float64        // attempts that were answered quickly while tokens were short
+	rounding        float64        // random fraction of an attempt that is added to a window's maximum
+	provenBurst     float64        // attempts answered quickly while out of tokens
 	overloadedAt    Time           // time of the latest evidence of overload
 	isHealthy       bool           // the latest evidence shows no overload
-	isReported      bool           // the latest evidence is the server's load report
-	beforeSuspicion *limitSnapshot // nil: no suspicion rests on silence alone
+	isReported      bool           // the latest evidence is a load report of the server
+	beforeSuspicion *limitSnapshot // limit to restore if a suspicion is cleared; nil: there is none
 }
 
-// A limitSnapshot holds what a suspicion takes from a rateLimit.
+// A limitSnapshot holds the values of a rateLimit that a suspicion overwrites.
 type limitSnapshot struct {
 	rate, provenBurst float64
 	overloadedAt      Time
@@ -65,7 +65,7 @@
 
 func (l *rateLimit) isUnlimited() bool { return math.IsInf(l.rate, 1) }
 
-// recordOverload sets a rate and discards what was known in favor of the server.
+// recordOverload sets a rate and discards all evidence that the server is healthy.
 func (l *rateLimit) recordOverload(rate, rounding float64, now Time) {
 	l.rate = rate
 	l.rounding = rounding
@@ -81,12 +81,12 @@
 	l.isReported = isReported
 }
 
-// snapshot returns what restore brings back.
+// snapshot returns the values that restore sets again.
 func (l *rateLimit) snapshot() *limitSnapshot {
 	return &limitSnapshot{rate: l.rate, provenBurst: l.provenBurst, overloadedAt: l.overloadedAt}
 }
 
-// restore undoes a suspicion.
+// restore reverts a suspicion.
 func (l *rateLimit) restore(before *limitSnapshot) {
 	l.rate = before.rate
 	l.provenBurst = before.provenBurst
@@ -94,17 +94,17 @@
 	l.beforeSuspicion = nil
 }
 
-// A ramp is the token bucket of an unproven server: one in slow start, or one that is not a call's first
-// choice and must not receive the overflow of all controllers at once.
+// A ramp is the token bucket of an unproven server: one in slow start, or one outside of a call's preferred pool,
+// which must not receive the overflow of all controllers at once.
 type ramp struct {
 	inSlowStart bool
 	tokens      float64
 }
 
-// A responseHistory holds the times of a server's answers, without the stalls of this process.
+// A responseHistory holds the times of a server's answers, excluding stalls of this process.
 type responseHistory struct {
-	lastAnswer        Time          // of any kind
-	lastEstablished   Time          // latest call established
+	lastAnswer        Time          // time of the latest answer of any kind
+	lastEstablished   Time          // time of the latest call established
 	lastSetupTime     time.Duration // of the latest call established
 	minSetupTime      time.Duration
 	smoothedSetupTime time.Duration
@@ -117,21 +117,21 @@
 	r.minSetupTime = min(r.minSetupTime, setupTime)
 }
 
-// shift moves the times by a stall of this process.
+// shift advances the times by a stall of this process.
 func (r *responseHistory) shift(stall time.Duration) {
 	r.lastAnswer += stall
 	r.lastEstablished += stall
 }
 
-// A circuitReport is what a server has reported of its circuits, corrected by what was sent since.
+// A circuitReport holds the circuits that a server has reported, adjusted for the attempts sent since.
 type circuitReport struct {
-	free        float64 // circuits that this controller may assume to be free
-	freeUntil   Time    // free has no meaning after
+	free        float64 // circuits that this controller assumes to be free
+	freeUntil   Time    // free is valid until this time
 	inUse       float64 // circuits in use by all controllers
-	scarceUntil Time    // circuits are kept for calls that are no redials until then
+	scarceUntil Time    // until this time, redials get no circuit
 }
 
-// markExhausted records that the server rejected an attempt for lack of a circuit.
+// markExhausted records that the server rejected an attempt because it had no free circuit.
 func (r *circuitReport) markExhausted(freeUntil, scarceUntil Time) {
 	r.free = 0
 	r.freeUntil = freeUntil
@@ -140,10 +140,10 @@
 
 func (r *circuitReport) isExhausted(now Time) bool { return r.free <= 0 && now < r.freeUntil }
 
-// openAttempts are the unanswered attempts at a server.
+// openAttempts holds the unanswered attempts at a server.
 type openAttempts struct {
-	pending []*call // in the order sent
-	lost    []*call // overtaken: an attempt that was sent later is answered
+	pending []*call // in the order in which they were sent
+	lost    []*call // overtaken: an attempt that was sent later has been answered
 }
 
 func (o *openAttempts) add(c *call) { o.pending = append(o.pending, c) }
@@ -159,7 +159,7 @@
 	return wasOvertaken
 }
 
-// markOvertaken moves the attempts sent before a time to the lost ones and reports whether there are any.
+// markOvertaken moves the attempts sent before a time to the lost ones and reports whether there were any.
 func (o *openAttempts) markOvertaken(before Time) bool {
 	overtaken := 0
 	for overtaken < len(o.pending) && o.pending[overtaken].sentAt < before {
@@ -170,21 +170,21 @@
 	return overtaken > 0
 }
 
-// timing holds the durations and the rate that follow from the settings.
+// timing holds the durations and the rate derived from the settings.
 type timing struct {
-	latencyThreshold  time.Duration // a later answer is evidence of overload
-	quickSetupTime    time.Duration // half of that: an earlier answer is evidence of health
-	unresponsiveAfter time.Duration // a server that answers nothing for longer is unresponsive
+	latencyThreshold  time.Duration // a slower answer is evidence of overload
+	quickSetupTime    time.Duration // half of latencyThreshold: a quicker answer is evidence of health
+	unresponsiveAfter time.Duration // a server that has not answered for longer is unresponsive
 	period            time.Duration // interval at which counters and limits are updated
 	window            time.Duration // minimum span of the rate estimates
-	minProbeRate      float64       // this controller's part of a rate that any server can take
+	minProbeRate      float64       // this controller's share of a rate that any server can handle
 }
 
 // estimates holds the rates that this controller has observed.
 type estimates struct {
-	windowPeriods int             // span of the rate estimates
+	windowPeriods int             // number of periods over which rates are estimated
 	offered       slidingCounter  // calls offered to this controller
 	established   slidingCounter  // calls established at all servers
-	peakRate      float64         // decaying maximum of calls established a second
-	poolPeakRates map[int]float64 // the same of attempts answered by a server of each pool
+	peakRate      float64         // decaying maximum of calls established per second
+	poolPeakRates map[int]float64 // decaying maximum of attempts answered per second by a server, by pool
 }
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -8,37 +8,38 @@
 // topologyPools is the only Settings.Topology that is supported.
 const topologyPools = "pools"
 
-// Settings describe a deployment to one of its controllers. They do not change while it runs.
+// Settings describe the deployment that a controller is part of. They do not change while it runs.
 type Settings struct {
-	// ControllerCount is the number of controllers that share the servers, this one included; at least 1.
+	// ControllerCount is the number of controllers that share the servers, including this one; at least 1.
 	ControllerCount int
-	// Topology says how controllers and servers are connected. It must be "pools": all controllers share all servers.
+	// Topology is the way in which controllers and servers are connected. It must be "pools", which means that all
+	// controllers share all servers.
 	Topology string
-	// Classes are the classes of calls, at least one. Those of the highest Weight have priority.
+	// Classes are the classes of calls; at least one. Calls of those with the highest Weight have priority.
 	Classes []Class
-	// MaxAttempts is the number of attempts that a call may have; at least 1.
+	// MaxAttempts is the maximum number of attempts per call; at least 1.
 	MaxAttempts int
-	// CanCancel says that the host can carry out CancelAttempt. If false, there is no such action.
+	// CanCancel means that the host supports CancelAttempt. If false, that action is never returned.
 	CanCancel bool
-	// OmitRetryAfter makes all retry-after times 0, which means that callers get no advice.
+	// OmitRetryAfter sets all retry-after times to 0, so that callers receive none.
 	OmitRetryAfter bool
-	// WatchServersOnRequest says that the host sends ServersUpdated only after WatchServers.
+	// WatchServersOnRequest means that the host sends ServersUpdated only after WatchServers.
 	WatchServersOnRequest bool
-	// ResendInterval is the time after which the signaling repeats an unanswered setup; 0: it does not. The
-	// latency threshold is not longer.
+	// ResendInterval is the time after which the signaling protocol retransmits an unanswered setup; 0: never. It is
+	// an upper bound on the latency threshold.
 	ResendInterval time.Duration
-	// RetryGuard is the time between an attempt that may still be running and the next one; 0: none.
+	// RetryGuard is the delay between an attempt that may still be running and the next one; 0: none.
 	RetryGuard time.Duration
-	// SlowStartPeriod is the age at which a started server has its full capacity; 0: it has it at once.
+	// SlowStartPeriod is the time after its start in which a server reaches its full capacity; 0: immediately.
 	SlowStartPeriod time.Duration
 	// SlowStartShare is the share of its capacity, from 0 to 1, that a server has when it starts.
 	SlowStartShare float64
-	// SlowStartFactor limits what all controllers together may send a server in slow start, as a multiple of its
-	// capacity at that age; 0: not specified.
+	// SlowStartFactor limits the attempts that all controllers together may send to a server in slow start, as a
+	// multiple of its capacity at that age; 0: not specified.
 	SlowStartFactor float64
 }
 
-// RetryAfter returns the retry-after time to tell a caller: 0, no advice, if OmitRetryAfter is set, else wait.
+// RetryAfter returns the retry-after time to send to a caller: 0 (none) if OmitRetryAfter is set, else wait.
 func (s Settings) RetryAfter(wait time.Duration) time.Duration {
 	if s.OmitRetryAfter {
 		return 0
@@ -46,27 +47,27 @@
 	return wait
 }
 
-// A SettingsError says what is wrong with Settings. NewStateMachine and NewEngine return it wrapped.
+// A SettingsError describes an invalid setting. NewStateMachine and NewEngine return it wrapped.
 type SettingsError struct {
 	Field   string // name of the field of Settings
 	Problem string
 }
 
-// Error returns the problem, which names the setting.
+// Error returns the description of the problem.
 func (e *SettingsError) Error() string { return e.Problem }
 
 func settingsError(field, format string, args ...any) error {
 	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate returns a *SettingsError for the first setting that is out of range.
+// validate returns a *SettingsError for the first invalid setting.
 func (s Settings) validate() error {
-	const countsProblem = "group size %d or max attempts %d is below 1"
+	const countsProblem = "group size %d and max attempts %d must be at least 1"
 	switch {
 	case s.Topology != topologyPools:
 		return settingsError("Topology", "topology %q is not supported", s.Topology)
 	case len(s.Classes) == 0:
-		return settingsError("Classes", "no classes")
+		return settingsError("Classes", "no classes are configured")
 	case s.ControllerCount < 1:
 		return settingsError("ControllerCount", countsProblem, s.ControllerCount, s.MaxAttempts)
 	case s.MaxAttempts < 1:
@@ -84,7 +85,7 @@
 }
 
 func (s Settings) validateSlowStartAndTimes() error {
-	const negativeProblem = "a time is negative"
+	const negativeProblem = "a duration is negative"
 	switch {
 	case s.ResendInterval < 0:
 		return settingsError("ResendInterval", negativeProblem)
@@ -95,7 +96,7 @@
 	}
 	isShare := s.SlowStartShare >= 0 && s.SlowStartShare <= 1 // false for NaN
 	if !isShare {
-		return settingsError("SlowStartShare", "start share %v is not within 0 and 1", s.SlowStartShare)
+		return settingsError("SlowStartShare", "start share %v must be between 0 and 1", s.SlowStartShare)
 	}
 	return nil
 }
@@ -103,14 +104,14 @@
 // A Class is a class of calls.
 type Class struct {
 	Name                string
-	LatencyObjective    time.Duration // a call established within this time has its full weight; above 0
-	Deadline            time.Duration // callers abandon the call for good after this; at least LatencyObjective
-	Weight              float64       // value of a call relative to other classes; not negative
-	LateWeightFactor    float64       // share of Weight that a call established late has
-	Pools               []int         // pools that can take calls of the class; nil: all
+	LatencyObjective    time.Duration // calls established within this time have their full weight; positive
+	Deadline            time.Duration // time after which callers give up the call for good; at least LatencyObjective
+	Weight              float64       // value of a call relative to that of other classes; not negative
+	LateWeightFactor    float64       // share of Weight of calls that are established late
+	Pools               []int         // pools that accept calls of the class; nil: all
 	Repeatability       Repeatability
 	DeduplicationScope  DeduplicationScope // for Deduplicated: the servers that recognize a repeat
-	DeduplicationWindow time.Duration      // for Deduplicated: how long they do, from the first send that may have run
+	DeduplicationWindow time.Duration      // for Deduplicated: for how long, from the start of the first such attempt
 }
 
 func (c Class) validate() error {
@@ -118,7 +119,7 @@
 	if c.LatencyObjective > 0 && c.Deadline >= c.LatencyObjective && hasWeight {
 		return nil
 	}
-	return settingsError("Classes", "class %q: aim %v, deadline %v, credit %v",
+	return settingsError("Classes", "class %q: want 0 < aim (%v) <= deadline (%v) and credit (%v) >= 0",
 		c.Name, c.LatencyObjective, c.Deadline, c.Weight)
 }
 
@@ -127,17 +128,17 @@
 	return c.Repeatability != NonRepeatable && c.DeduplicationScope == ScopeFleet
 }
 
-// A Repeatability says what happens if a call runs twice.
+// A Repeatability says whether a call that may have run may be repeated.
 type Repeatability int
 
-// Values of Repeatability. They matter for calls that may have run (see AttemptResult.MayHaveRun) without success.
+// Values of Repeatability. They apply to unsuccessful calls that may have run (see AttemptResult.MayHaveRun).
 const (
 	// Idempotent calls may be repeated at any server.
 	Idempotent Repeatability = iota
 	// Deduplicated calls are repeated only at servers within the DeduplicationScope, which discard the repeat,
 	// and only within the DeduplicationWindow.
 	Deduplicated
-	// NonRepeatable calls are not repeated, and fail instead of being rejected.
+	// NonRepeatable calls are not repeated; they fail instead of being rejected.
 	NonRepeatable
 )
 
@@ -147,8 +148,8 @@
 // Values of DeduplicationScope.
 const (
 	ScopeFleet DeduplicationScope = iota // all servers
-	ScopeZone                            // those of the same zone
-	ScopePool                            // those of the same pool
+	ScopeZone                            // servers in the same zone
+	ScopePool                            // servers in the same pool
 )
 
 // includes reports whether two servers recognize each other's repeats.
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-const rampGrowth = 1.5 // growth of the attempts to an unproven server over those that it answered
+const rampGrowth = 1.5 // attempt rate allowed to an unproven server, relative to its answer rate
 
 func (s *server) needsRampToken(c *call) bool { return s.ramp.inSlowStart || s.Pool != c.preferredPool }
 
@@ -15,7 +15,7 @@
 	}
 }
 
-// rampRate is somewhat more than a server answers, or in slow start the share of its pool's peak for its age.
+// rampRate is somewhat above a server's answer rate or, in slow start, its pool's peak scaled by its age.
 func (m *StateMachine) rampRate(s *server, rate float64) float64 {
 	peak := m.poolPeakRates[s.Pool]
 	if !s.ramp.inSlowStart || peak <= 0 {
--- a/internal/admission/statemachine.go
+++ b/internal/admission/statemachine.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	periodsPerThreshold = 5  // periods in the latency threshold
-	logIntervalWindows  = 10 // windows between two log messages about a server
-	periodTimerKey      = 0  // key of the timer that ends periods; the keys of calls are positive
-	watchRetryTimerKey  = -1 // key of the timer after which a failed watch is repeated
+	periodsPerThreshold = 5  // periods per latency threshold
+	logIntervalWindows  = 10 // windows between log messages about the same server
+	periodTimerKey      = 0  // timer that ends a period; the timer keys of calls are positive
+	watchRetryTimerKey  = -1 // timer after which a failed watch is restarted
 )
 
 // A StateMachine makes the decisions of one controller. It is not safe for concurrent use.
@@ -25,18 +25,18 @@
 
 	now           Time
 	lastPeriodEnd Time
-	stall         time.Duration // time that this process did not run just before now
-	actions       []Action      // result of the event in hand
+	stall         time.Duration // time just before now in which this process did not run
+	actions       []Action      // actions of the current event
 
-	servers            []*server // in the order of their first listing
+	servers            []*server // in the order in which they were first listed
 	calls              callTable
 	dialedNumbers      map[string]*dialedNumber
-	busyNumbers        map[string]Time // the time from which one call may probe the number
+	busyNumbers        map[string]Time // time from which one call may probe the number
 	unansweredAttempts int             // at all servers
 	rejectReason       Reason          // why the latest selection found no server
 }
 
-// NewStateMachine returns the state machine of a controller that starts. The seed fixes its random draws.
+// NewStateMachine returns a StateMachine. The seed initializes its random number generator.
 // The error wraps a *SettingsError.
 func NewStateMachine(settings Settings, seed uint64) (*StateMachine, error) {
 	if err := settings.validate(); err != nil {
@@ -69,7 +69,7 @@
 	return t
 }
 
-// Begin starts the clock. Its actions come before those of any event.
+// Begin starts the state machine. The host executes its actions before those of any event.
 func (m *StateMachine) Begin(now Time) []Action {
 	m.now, m.lastPeriodEnd = now, now
 	m.windowPeriods = minWindowPeriods
@@ -80,8 +80,8 @@
 	return actions
 }
 
-// Handle applies an event and returns the actions to carry out, in order. The caller owns the slice.
-// Events of unknown calls or servers have no effect. Time does not go back before that of earlier events.
+// Handle applies an event and returns the actions to execute, in order. The caller owns the slice.
+// Events for unknown calls or servers have no effect. A time before that of the previous event is ignored.
 func (m *StateMachine) Handle(now Time, e Event) []Action {
 	m.advanceClock(max(m.now, now))
 	m.actions = nil
@@ -113,7 +113,7 @@
 
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// advanceClock sets the time. A stall of this process is neither setup time nor silence of a server.
+// advanceClock sets the time. A stall of this process does not count as setup time or as silence of a server.
 func (m *StateMachine) advanceClock(now Time) {
 	if now == m.now {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// endPeriod ends the current period. After a long stall, only the periods of the latest window count.
+// endPeriod ends the current period. After a long stall, periods before the latest window are skipped.
 func (m *StateMachine) endPeriod() {
 	m.lastPeriodEnd += m.period
 	m.adjustWindow()
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -1,18 +1,18 @@
 package admission
 
-// maxWindowPeriods bounds the number of periods that a slidingCounter covers.
+// maxWindowPeriods is the maximum number of periods that a slidingCounter covers.
 const maxWindowPeriods = 300
 
-// A slidingCounter counts events over the latest periods, the current one included.
+// A slidingCounter counts events over the latest periods, including the current one.
 // The zero value is an empty counter.
 type slidingCounter struct {
-	slots   [maxWindowPeriods]uint16 // counts by period, a ring
+	slots   [maxWindowPeriods]uint16 // ring buffer of counts per period
 	current int                      // slot of the current period
-	periods int                      // full periods that the counter covers
-	sum     int                      // events in all periods covered
+	periods int                      // number of full periods covered
+	sum     int                      // number of events in all periods covered
 }
 
-// add counts one event in the current period.
+// add counts an event in the current period.
 func (s *slidingCounter) add() {
 	s.slots[s.current]++
 	s.sum++
