--- a/internal/admission/estimate_test.go
+++ b/internal/admission/estimate_test.go
@@ -7,21 +7,21 @@
 
 // Where all times of the settings are a quarter, calls find their way to another pool in a quarter of the time.
 func TestRatesScaleWithSettings(t *testing.T) {
-	taken := func(scale time.Duration) (sent int) {
-		set := testSettings()
-		set.ResendInterval /= scale
-		set.RetryGuard /= scale
-		set.SlowStartPeriod /= scale
-		for i := range set.Classes {
-			set.Classes[i].LatencyObjective /= scale
-			set.Classes[i].Deadline /= scale
+	countSent := func(scale time.Duration) (sent int) {
+		settings := testSettings()
+		settings.ResendInterval /= scale
+		settings.RetryGuard /= scale
+		settings.SlowStartPeriod /= scale
+		for i := range settings.Classes {
+			settings.Classes[i].LatencyObjective /= scale
+			settings.Classes[i].Deadline /= scale
 		}
-		tc := newTestController(t, set, serverA, serverB)
+		tc := newTestController(t, settings, serverA, serverB)
 		tc.offerSteadily(80*millisecond/scale, 8*time.Second/scale, 80*millisecond/scale)
 		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", State: Draining}}})
 		return tc.offerSteadily(80*millisecond/scale, 16*time.Second/scale, 80*millisecond/scale)
 	}
-	slow, fast := taken(1), taken(4)
+	slow, fast := countSent(1), countSent(4)
 	if slow < 50 || fast < slow*9/10 || fast > slow*11/10 {
 		t.Errorf("%d calls to the other pool, %d where all times are a quarter", slow, fast)
 	}
@@ -34,7 +34,7 @@
 	tc.offerSteadily(100*millisecond, 800*millisecond, 50*millisecond)
 	sent := 0
 	for range 10 {
-		if _, to := tc.offer("read", 0); to == "a" {
+		if _, server := tc.offer("read", 0); server == "a" {
 			sent++
 		}
 	}
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -9,7 +9,7 @@
 
 // The host hands events to the state machine and carries out the actions.
 func Example() {
-	c, err := admission.NewStateMachine(admission.Settings{
+	machine, err := admission.NewStateMachine(admission.Settings{
 		ControllerCount: 5, Topology: "pools", MaxAttempts: 3, CanCancel: true,
 		ResendInterval: 500 * time.Millisecond, RetryGuard: 200 * time.Millisecond,
 		SlowStartPeriod: 12 * time.Second, SlowStartShare: 0.3,
@@ -22,20 +22,20 @@
 		return
 	}
 	now := 10 * time.Second // any clock that does not go back
-	do := func(actions []admission.Action) {
+	show := func(actions []admission.Action) {
 		for _, a := range actions {
 			fmt.Printf("%T %+v\n", a, a)
 		}
 	}
-	do(c.Begin(now))
-	do(c.Handle(now, admission.ServersUpdated{Full: true, Servers: []admission.Server{{ID: "core-1", Pool: 0}}}))
-	do(c.Handle(now, admission.CallOffered{
+	show(machine.Begin(now))
+	show(machine.Handle(now, admission.ServersUpdated{Full: true, Servers: []admission.Server{{ID: "core-1", Pool: 0}}}))
+	show(machine.Handle(now, admission.CallOffered{
 		CallID: "c1", Class: "balance", Number: "n1", Deadline: now + 2*time.Second,
 	}))
 	now += 80 * time.Millisecond
-	do(c.Handle(now, admission.CallEstablished{CallID: "c1", Server: "core-1", SetupTime: 80 * time.Millisecond}))
+	show(machine.Handle(now, admission.CallEstablished{CallID: "c1", Server: "core-1", SetupTime: 80 * time.Millisecond}))
 	now += 4 * time.Second
-	do(c.Handle(now, admission.AttemptEnded{
+	show(machine.Handle(now, admission.AttemptEnded{
 		CallID: "c1", Server: "core-1", Result: admission.ResultDelivered, Final: true,
 	}))
 	// Output:
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -57,40 +57,40 @@
 
 // stormTrace hashes the actions that the random events of a storm cause.
 func stormTrace(t *testing.T, seed uint64) string {
-	s := newRandomEvents(t, seed)
+	events := newRandomEvents(t, seed)
 	for range goldenSteps {
-		s.step()
+		events.step()
 	}
-	s.endAll()
+	events.endAll()
 	h := sha256.New()
-	for _, act := range s.trace {
-		writeAction(h, s.now, act)
+	for _, act := range events.trace {
+		writeAction(h, events.now, act)
 	}
-	fmt.Fprintln(h, s.machine.rng.Uint64())
-	return fmt.Sprintf("%d %x", len(s.trace), h.Sum(nil)[:16])
+	fmt.Fprintln(h, events.machine.rng.Uint64())
+	return fmt.Sprintf("%d %x", len(events.trace), h.Sum(nil)[:16])
 }
 
 var numberInText = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
 
 // writeAction writes an action with labels that do not depend on Go names.
-func writeAction(h hash.Hash, now Time, act Action) {
-	switch x := act.(type) {
+func writeAction(h hash.Hash, now Time, action Action) {
+	switch a := action.(type) {
 	case SendAttempt:
-		fmt.Fprintln(h, "send", x.CallID, x.Server, int64(x.Timeout))
+		fmt.Fprintln(h, "send", a.CallID, a.Server, int64(a.Timeout))
 	case RejectCall:
-		fmt.Fprintln(h, "reject", x.CallID, int64(x.RetryAfter), string(x.Reason))
+		fmt.Fprintln(h, "reject", a.CallID, int64(a.RetryAfter), string(a.Reason))
 	case FailCall:
-		fmt.Fprintln(h, "fail", x.CallID, int64(x.RetryAfter), string(x.Reason))
+		fmt.Fprintln(h, "fail", a.CallID, int64(a.RetryAfter), string(a.Reason))
 	case CancelAttempt:
-		fmt.Fprintln(h, "cancel", x.CallID, x.Attempt, string(x.Reason))
+		fmt.Fprintln(h, "cancel", a.CallID, a.Attempt, string(a.Reason))
 	case SetTimer:
-		fmt.Fprintln(h, "timer", int64(x.At), x.Key)
+		fmt.Fprintln(h, "timer", int64(a.At), a.Key)
 	case WatchServers:
 		fmt.Fprintln(h, "watch")
 	case LogMessage:
-		fmt.Fprintln(h, "log", numberInText.FindAllString(x.Text, -1))
+		fmt.Fprintln(h, "log", numberInText.FindAllString(a.Text, -1))
 	case RateLimitChanged:
-		fmt.Fprintln(h, "limit", x.Server, math.Float64bits(x.AttemptsPerSecond), string(x.Reason))
+		fmt.Fprintln(h, "limit", a.Server, math.Float64bits(a.AttemptsPerSecond), string(a.Reason))
 	default:
 		fmt.Fprintln(h, "unknown", int64(now))
 	}
@@ -161,7 +161,7 @@
 
 // traffic drives a state machine with calls, servers that change their behaviour, and reports.
 type traffic struct {
-	c       *StateMachine
+	machine *StateMachine
 	now     Time
 	rng     *rand.Rand
 	h       hash.Hash
@@ -173,14 +173,14 @@
 }
 
 func trafficSettings(seed uint64) Settings {
-	set := testSettings()
-	set.ControllerCount = []int{1, 4, 100}[seed%3]
-	set.CanCancel = seed%5 != 0
-	set.OmitRetryAfter = seed%7 == 0
-	set.WatchServersOnRequest = seed%4 == 0
-	set.SlowStartFactor = []float64{0, 1.2, 3}[seed%3]
-	set.ResendInterval = []time.Duration{0, 120 * millisecond, 600 * millisecond}[(seed/3)%3]
-	set.MaxAttempts = 2 + int(seed%3)
+	settings := testSettings()
+	settings.ControllerCount = []int{1, 4, 100}[seed%3]
+	settings.CanCancel = seed%5 != 0
+	settings.OmitRetryAfter = seed%7 == 0
+	settings.WatchServersOnRequest = seed%4 == 0
+	settings.SlowStartFactor = []float64{0, 1.2, 3}[seed%3]
+	settings.ResendInterval = []time.Duration{0, 120 * millisecond, 600 * millisecond}[(seed/3)%3]
+	settings.MaxAttempts = 2 + int(seed%3)
 	deduplicated := Class{
 		LatencyObjective: 900 * millisecond, Deadline: 5 * time.Second, Weight: 2,
 		Repeatability: Deduplicated, DeduplicationWindow: time.Second,
@@ -193,27 +193,27 @@
 		Name: "never", LatencyObjective: 900 * millisecond, Deadline: 5 * time.Second, Weight: 5,
 		Repeatability: NonRepeatable, Pools: []int{0, 1, 2},
 	}
-	set.Classes = append(set.Classes, zone, pool, fleet, never)
-	return set
+	settings.Classes = append(settings.Classes, zone, pool, fleet, never)
+	return settings
 }
 
 func trafficTrace(t *testing.T, seed uint64) string {
-	c, err := NewStateMachine(trafficSettings(seed), seed)
+	machine, err := NewStateMachine(trafficSettings(seed), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &traffic{
-		c: c, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 11)), h: sha256.New(),
+		machine: machine, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 11)), h: sha256.New(),
 		attempt: map[string]int{},
 	}
 	if seed%2 == 1 {
-		c.overloadControl = recordingControl{h: s.h, rng: rand.New(rand.NewPCG(seed, 13)), throttles: seed%4 == 1}
+		machine.overloadControl = recordingControl{h: s.h, rng: rand.New(rand.NewPCG(seed, 13)), throttles: seed%4 == 1}
 	}
 	for i := range 5 {
 		s.servers = append(s.servers, &simulatedServer{circuits: 40,
 			Server: Server{ID: fmt.Sprint("s", i), Pool: i % 4, Zone: fmt.Sprint("z", i%2)}})
 	}
-	s.apply(c.Begin(s.now))
+	s.apply(machine.Begin(s.now))
 	var all []Server
 	for _, srv := range s.servers {
 		all = append(all, srv.Server)
@@ -222,11 +222,11 @@
 	for range goldenSteps {
 		s.step()
 	}
-	fmt.Fprintln(s.h, s.c.rng.Uint64())
+	fmt.Fprintln(s.h, s.machine.rng.Uint64())
 	return fmt.Sprintf("%d %x", s.actions, s.h.Sum(nil)[:16])
 }
 
-func (s *traffic) handle(e Event) { s.apply(s.c.Handle(s.now, e)) }
+func (s *traffic) handle(e Event) { s.apply(s.machine.Handle(s.now, e)) }
 
 func (s *traffic) schedule(after time.Duration, call string, attempt int, e Event) {
 	s.events = append(s.events, pendingEvent{s.now + after, call, attempt, e})
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -38,14 +38,14 @@
 	offeredCalls int
 }
 
-func newTestController(t *testing.T, set Settings, servers ...Server) *testController {
+func newTestController(t *testing.T, settings Settings, servers ...Server) *testController {
 	t.Helper()
-	c, err := NewStateMachine(set, 1)
+	machine, err := NewStateMachine(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tc := &testController{t: t, machine: c, now: time.Hour}
-	tc.collect(c.Begin(tc.now))
+	tc := &testController{t: t, machine: machine, now: time.Hour}
+	tc.collect(machine.Begin(tc.now))
 	tc.handle(ServersUpdated{Full: true, Cached: true, Servers: servers})
 	return tc
 }
@@ -53,16 +53,16 @@
 // newTestControllers makes n controllers that share nothing but their settings.
 func newTestControllers(t *testing.T, n int, servers ...Server) []*testController {
 	t.Helper()
-	set := testSettings()
-	set.ControllerCount = n
+	settings := testSettings()
+	settings.ControllerCount = n
 	var controllers []*testController
 	for seed := range n {
-		c, err := NewStateMachine(set, uint64(seed))
+		machine, err := NewStateMachine(settings, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		tc := &testController{t: t, machine: c, now: time.Hour}
-		tc.collect(c.Begin(tc.now))
+		tc := &testController{t: t, machine: machine, now: time.Hour}
+		tc.collect(machine.Begin(tc.now))
 		tc.handle(ServersUpdated{Full: true, Cached: true, Servers: servers})
 		controllers = append(controllers, tc)
 	}
@@ -73,13 +73,13 @@
 // has received timely answers for a while.
 func newControllerOfManyServers(t *testing.T) *testController {
 	t.Helper()
-	set := testSettings()
-	set.ControllerCount = 100
+	settings := testSettings()
+	settings.ControllerCount = 100
 	var all []Server
 	for i := range 24 {
 		all = append(all, Server{ID: fmt.Sprint("s", i), Pool: i})
 	}
-	tc := newTestController(t, set, all...)
+	tc := newTestController(t, settings, all...)
 	for i := range 60 {
 		if id, s := tc.offer("read", i%24); s != "" {
 			tc.establish(id, s, 60*millisecond)
@@ -91,8 +91,8 @@
 
 func (tc *testController) collect(acts []Action) []Action {
 	for _, a := range acts {
-		if d, ok := a.(SetTimer); ok {
-			tc.timers = append(tc.timers, d)
+		if timer, ok := a.(SetTimer); ok {
+			tc.timers = append(tc.timers, timer)
 			continue
 		}
 		tc.actions = append(tc.actions, a)
@@ -112,26 +112,26 @@
 	for end := tc.now + d; tc.now < end; {
 		tc.now = min(tc.now+5*millisecond, end)
 		due := []SetTimer{}
-		tc.timers = slices.DeleteFunc(tc.timers, func(b SetTimer) bool {
-			if b.At <= tc.now {
-				due = append(due, b)
+		tc.timers = slices.DeleteFunc(tc.timers, func(timer SetTimer) bool {
+			if timer.At <= tc.now {
+				due = append(due, timer)
 				return true
 			}
 			return false
 		})
-		for _, b := range due {
-			all = append(all, tc.handle(TimerFired{Key: b.Key})...)
+		for _, timer := range due {
+			all = append(all, tc.handle(TimerFired{Key: timer.Key})...)
 		}
 	}
 	return all
 }
 
 // offer offers a new call and returns the server to which it was sent, "" if none.
-func (tc *testController) offer(class string, first int) (id, server string) {
+func (tc *testController) offer(class string, preferredPool int) (id, server string) {
 	tc.offeredCalls++
 	id = fmt.Sprintf("%016x", tc.offeredCalls)
 	return id, tc.offerCall(CallOffered{
-		CallID: id, Class: class, Number: id, PreferredPool: first,
+		CallID: id, Class: class, Number: id, PreferredPool: preferredPool,
 		Deadline: tc.now + 3*time.Second,
 	})
 }
@@ -147,12 +147,12 @@
 	return ""
 }
 
-func (tc *testController) establish(id, server string, took time.Duration) {
-	tc.handle(CallEstablished{CallID: id, Server: server, SetupTime: took})
+func (tc *testController) establish(id, server string, setupTime time.Duration) {
+	tc.handle(CallEstablished{CallID: id, Server: server, SetupTime: setupTime})
 }
 
-func (tc *testController) endAttempt(id, server string, code AttemptResult, cause FailureCause) []Action {
-	return tc.handle(AttemptEnded{CallID: id, Server: server, Result: code, Cause: cause})
+func (tc *testController) endAttempt(id, server string, result AttemptResult, cause FailureCause) []Action {
+	return tc.handle(AttemptEnded{CallID: id, Server: server, Result: result, Cause: cause})
 }
 
 func hasAction[T Action](acts []Action) bool {
@@ -162,14 +162,14 @@
 var serverA, serverB = Server{ID: "a", Pool: 0}, Server{ID: "b", Pool: 1}
 
 // offerSteadily offers a call each gap for d. The first pool answers each after took.
-func (tc *testController) offerSteadily(gap, d, took time.Duration) (sent int) {
-	for end := tc.now + d; tc.now < end; {
+func (tc *testController) offerSteadily(interval, duration, setupTime time.Duration) (sent int) {
+	for end := tc.now + duration; tc.now < end; {
 		if id, s := tc.offer("read", 0); s != "" {
 			sent++
-			tc.establish(id, s, took)
+			tc.establish(id, s, setupTime)
 			tc.handle(AttemptEnded{CallID: id, Server: s, Result: ResultDelivered, Final: true})
 		}
-		tc.advance(gap)
+		tc.advance(interval)
 	}
 	return sent
 }
--- a/internal/admission/overloadcontrol_test.go
+++ b/internal/admission/overloadcontrol_test.go
@@ -29,9 +29,9 @@
 	return f.throttle(server, priority, first)
 }
 
-func newFakeOverloadControl(holds func(server string, priority Priority, first bool) (Reason, bool)) *fakeOverloadControl {
+func newFakeOverloadControl(throttle func(server string, priority Priority, first bool) (Reason, bool)) *fakeOverloadControl {
 	return &fakeOverloadControl{
-		throttle: holds, offered: map[string]int{}, sent: map[string]int{},
+		throttle: throttle, offered: map[string]int{}, sent: map[string]int{},
 		unanswered: map[string]int{},
 	}
 }
@@ -53,13 +53,13 @@
 	}
 	held["s1"] = true
 	acts := tc.handle(CallOffered{CallID: "x", Class: "read", Number: "9", Deadline: tc.now + time.Second})
-	why := Reason("none")
+	reason := Reason("none")
 	for _, a := range acts {
 		if a, is := a.(RejectCall); is {
-			why = a.Reason
+			reason = a.Reason
 		}
 	}
-	if why != ReasonFleetThrottle {
+	if reason != ReasonFleetThrottle {
 		t.Errorf("a call held back from both was answered %v, want a rejection with reason %q",
 			acts, ReasonFleetThrottle)
 	}
@@ -71,7 +71,7 @@
 // The overload control cannot open a server that the list or the controller's own evidence forbids: it is not
 // even asked about it.
 func TestOverloadControlOpensNothing(t *testing.T) {
-	all := func(string, Priority, bool) (Reason, bool) { return "", true }
+	admitAll := func(string, Priority, bool) (Reason, bool) { return "", true }
 	for _, c := range []struct {
 		name string
 		do   func(tc *testController)
@@ -98,7 +98,7 @@
 		}},
 	} {
 		tc := newTestController(t, testSettings(), Server{ID: "s0"})
-		f := newFakeOverloadControl(all)
+		f := newFakeOverloadControl(admitAll)
 		tc.machine.overloadControl = f
 		c.do(tc)
 		f.throttleCalls = 0
--- a/internal/admission/priority_test.go
+++ b/internal/admission/priority_test.go
@@ -27,21 +27,21 @@
 
 func TestBusyDestination(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
-	ask := func(id string) string {
+	place := func(id string) string {
 		return tc.offerCall(CallOffered{CallID: id, Class: "read", Number: "busy", Deadline: tc.now + 3*time.Second})
 	}
-	tc.endAttempt("1", ask("1"), ResultServerError, CauseDestinationBusy)
+	tc.endAttempt("1", place("1"), ResultServerError, CauseDestinationBusy)
 	if !hasAction[FailCall](tc.actions) {
 		t.Errorf("a busy destination did not fail the call: %v", tc.actions)
 	}
-	if ask("2") != "" {
+	if place("2") != "" {
 		t.Error("a call to a busy destination was sent")
 	}
 	tc.advance(tc.machine.window)
-	if ask("3") == "" {
+	if place("3") == "" {
 		t.Error("a window later no call probes the destination")
 	}
-	if ask("4") != "" {
+	if place("4") != "" {
 		t.Error("two calls went to a busy destination in a window")
 	}
 }
@@ -67,15 +67,15 @@
 // A caller who was rejected and redials within the latency objective keeps the priority.
 func TestEarlyRedialKeepsPriority(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
-	k := &call{number: "n", class: tc.machine.classes["read"]}
-	if tc.machine.isRedial(k, false) {
+	c := &call{number: "n", class: tc.machine.classes["read"]}
+	if tc.machine.isRedial(c, false) {
 		t.Error("a first call counts as redialed")
 	}
 	tc.advance(700 * millisecond)
-	if tc.machine.isRedial(k, true) {
+	if tc.machine.isRedial(c, true) {
 		t.Error("a call redialed within the latency objective counts as late")
 	}
-	if !tc.machine.isRedial(k, false) {
+	if !tc.machine.isRedial(c, false) {
 		t.Error("a third call to a number counts as the first caller's")
 	}
 }
@@ -84,25 +84,25 @@
 func TestEmergencyPriority(t *testing.T) {
 	settings := testSettings()
 	for _, isEmergency := range []bool{false, true} {
-		d, err := NewEngine(Time(time.Hour), settings, 1, func(string) {})
+		engine, err := NewEngine(Time(time.Hour), settings, 1, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := Time(time.Hour)
-		d.UpdateServers(now, []Server{{ID: "a", Pool: 0}}, true)
+		engine.UpdateServers(now, []Server{{ID: "a", Pool: 0}}, true)
 		sent := 0
 		for i := range 20 { // a burst: normal calls are held to the server's proven burst
-			o := d.Place(now, Request{
+			decision := engine.Place(now, Request{
 				CallID: string(rune('a' + i)), Class: settings.Classes[0].Name,
 				Deadline: now + time.Second, Emergency: isEmergency,
 			})
-			if o.Kind == DecisionSend {
+			if decision.Kind == DecisionSend {
 				sent++
 			}
 			// Not as quick as the first: the burst does not grow, and the tokens run out.
-			took := min(time.Duration(1+99*i), 100) * time.Millisecond
-			d.Report(now, AttemptReport{
-				CallID: string(rune('a' + i)), Server: "a", Kind: ReportEstablished, Elapsed: took,
+			elapsed := min(time.Duration(1+99*i), 100) * time.Millisecond
+			engine.Report(now, AttemptReport{
+				CallID: string(rune('a' + i)), Server: "a", Kind: ReportEstablished, Elapsed: elapsed,
 			})
 		}
 		if isEmergency != (sent == 20) {
@@ -115,14 +115,14 @@
 func TestEmergencyToBusyDestination(t *testing.T) {
 	now := Time(time.Hour)
 	settings := testSettings()
-	d, err := NewEngine(now, settings, 1, func(string) {})
+	engine, err := NewEngine(now, settings, 1, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.UpdateServers(now, []Server{{ID: "a", Pool: 0}}, true)
-	ask := func(id string, isEmergency bool) Decision {
+	engine.UpdateServers(now, []Server{{ID: "a", Pool: 0}}, true)
+	place := func(id string, isEmergency bool) Decision {
 		now += 5 * time.Millisecond
-		return d.Place(now, Request{
+		return engine.Place(now, Request{
 			CallID: id, Class: settings.Classes[0].Name, Number: "133", Deadline: now + time.Second,
 			Emergency: isEmergency,
 		})
@@ -130,14 +130,14 @@
 	rejectedCall := ""
 	for i := range 12 { // callers find the destination busy
 		id := string(rune('a' + i))
-		o := ask(id, false)
-		if o.Kind == DecisionReject && o.Reason == ReasonDestinationCongested {
+		decision := place(id, false)
+		if decision.Kind == DecisionReject && decision.Reason == ReasonDestinationCongested {
 			rejectedCall = id
 			break
 		}
-		if o.Kind == DecisionSend {
-			d.Report(now, AttemptReport{
-				CallID: id, Server: o.Server, Kind: ReportEnded, Result: ResultServerError,
+		if decision.Kind == DecisionSend {
+			engine.Report(now, AttemptReport{
+				CallID: id, Server: decision.Server, Kind: ReportEnded, Result: ResultServerError,
 				Cause: CauseDestinationBusy, Elapsed: time.Millisecond,
 			})
 		}
@@ -145,8 +145,8 @@
 	if rejectedCall == "" {
 		t.Fatal("no call was rejected for its busy destination")
 	}
-	if o := ask("emergency", true); o.Kind != DecisionSend {
-		t.Errorf("an emergency call to the same number: %+v", o)
+	if decision := place("emergency", true); decision.Kind != DecisionSend {
+		t.Errorf("an emergency call to the same number: %+v", decision)
 	}
 }
 
@@ -158,21 +158,21 @@
 	tc := newControllerOfManyServers(t)
 	sent := 0
 	for i := range 24 { // a call for each in 2.4 s, and no server answers any more
-		if _, s := tc.offer("read", i); s != "" {
+		if _, server := tc.offer("read", i); server != "" {
 			sent++
 		}
 		tc.advance(100 * millisecond)
 	}
-	if most := burstSize + 1 + int(4*tc.machine.latencyThreshold.Seconds()+1); sent > most || sent < 2 {
-		t.Errorf("%d calls were sent while none was answered, at 4/s answered before: want 2 to %d", sent, most)
+	if maxSent := burstSize + 1 + int(4*tc.machine.latencyThreshold.Seconds()+1); sent > maxSent || sent < 2 {
+		t.Errorf("%d calls were sent while none was answered, at 4/s answered before: want 2 to %d", sent, maxSent)
 	}
-	if id, s := tc.offer("read", 3); s != "" || !tc.isForgotten(id) {
-		t.Errorf("a further call went to %q, or was not rejected at once", s)
+	if id, server := tc.offer("read", 3); server != "" || !tc.isForgotten(id) {
+		t.Errorf("a further call went to %q, or was not rejected at once", server)
 	}
-	if s := tc.offerCall(CallOffered{
+	if server := tc.offerCall(CallOffered{
 		CallID: "interrupted", Class: "read", Number: "7", PreferredPool: 3,
 		Deadline: tc.now + 3*time.Second, Reestablish: true,
-	}); s == "" {
+	}); server == "" {
 		t.Error("an interrupted call that is established again was held back")
 	}
 }
@@ -180,22 +180,22 @@
 // Servers that answer quickly receive all calls, however many are unanswered at once.
 func TestManyServersQuickRise(t *testing.T) {
 	tc := newControllerOfManyServers(t)
-	type out struct {
+	type sentCall struct {
 		id, server string
 		due        Time
 	}
-	var under []out
+	var unanswered []sentCall
 	rejected := 0
 	for i := range 240 { // twenty calls a second where there were four
 		if id, s := tc.offer("read", i%24); s != "" {
-			under = append(under, out{id, s, tc.now + 120*millisecond})
+			unanswered = append(unanswered, sentCall{id, s, tc.now + 120*millisecond})
 		} else {
 			rejected++
 		}
 		tc.advance(50 * millisecond)
-		for len(under) > 0 && under[0].due <= tc.now {
-			tc.establish(under[0].id, under[0].server, 120*millisecond)
-			under = under[1:]
+		for len(unanswered) > 0 && unanswered[0].due <= tc.now {
+			tc.establish(unanswered[0].id, unanswered[0].server, 120*millisecond)
+			unanswered = unanswered[1:]
 		}
 	}
 	if rejected > 0 {
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -78,13 +78,13 @@
 		s.answer(ids[s.rng.IntN(len(ids))])
 	case n == 8:
 		id := fmt.Sprint("s", s.rng.IntN(4))
-		phase := ServerState(s.rng.IntN(3))
-		l := Server{ID: id, Pool: int(id[1] - '0'), State: phase}
-		if phase == Active && s.closed[id] {
-			l.Started = s.now
+		state := ServerState(s.rng.IntN(3))
+		listing := Server{ID: id, Pool: int(id[1] - '0'), State: state}
+		if state == Active && s.closed[id] {
+			listing.Started = s.now
 		}
-		s.closed[id] = phase != Active
-		s.check(s.handle(ServersUpdated{Servers: []Server{l}}))
+		s.closed[id] = state != Active
+		s.check(s.handle(ServersUpdated{Servers: []Server{listing}}))
 	case len(ids) > 0 && s.rng.IntN(4) == 0:
 		id := ids[s.rng.IntN(len(ids))]
 		s.decided[id] = true
@@ -143,8 +143,8 @@
 		s := newRandomEvents(t, seed)
 		for range 1500 {
 			s.step()
-			for id, until := range s.deadlines {
-				if s.now > until+20*millisecond && !s.decided[id] {
+			for id, deadline := range s.deadlines {
+				if s.now > deadline+20*millisecond && !s.decided[id] {
 					t.Fatalf("seed %d: call %s has no answer in time", seed, id)
 				}
 			}
--- a/internal/admission/ratelimit_test.go
+++ b/internal/admission/ratelimit_test.go
@@ -11,8 +11,8 @@
 	tc.offerSteadily(100*millisecond, 4*time.Second, 50*millisecond)
 	id, s := tc.offer("read", 0)
 	tc.endAttempt(id, s, ResultServerBusy, CauseProcessorBusy)
-	if c := tc.machine.servers[0].limit.rate; math.IsInf(c, 1) || c > 10 {
-		t.Fatalf("rate limit after a rejection for overload is %v, want at most the recent rate of 10", c)
+	if rate := tc.machine.servers[0].limit.rate; math.IsInf(rate, 1) || rate > 10 {
+		t.Fatalf("rate limit after a rejection for overload is %v, want at most the recent rate of 10", rate)
 	}
 	tc.machine.servers[0].limit.rate = 14
 	reads, writes := 0, 0
@@ -52,8 +52,8 @@
 	id, s := tc.offer("read", 0)
 	tc.endAttempt(id, s, ResultServerBusy, CauseProcessorBusy)
 	tc.offerSteadily(500*millisecond, 3*tc.machine.window, 50*millisecond)
-	if c := tc.machine.servers[0].limit.rate; !math.IsInf(c, 1) {
-		t.Errorf("rate limit %v has not expired after windows without overload", c)
+	if rate := tc.machine.servers[0].limit.rate; !math.IsInf(rate, 1) {
+		t.Errorf("rate limit %v has not expired after windows without overload", rate)
 	}
 }
 
@@ -65,7 +65,7 @@
 	tc.endAttempt(id, s, ResultServerBusy, CauseProcessorBusy)
 	tc.advance(tc.machine.window - 500*millisecond)
 	tc.offerSteadily(10*millisecond, time.Second, 50*millisecond)
-	if c := tc.machine.servers[0].limit.rate; math.IsInf(c, 1) {
+	if rate := tc.machine.servers[0].limit.rate; math.IsInf(rate, 1) {
 		t.Error("the rate limit expired though it held calls back")
 	}
 }
@@ -101,9 +101,9 @@
 
 // Probes must not keep a small server slow that has become slow.
 func TestProbeRateFollowsPoolPeak(t *testing.T) {
-	rateLimitAfter := func(gap time.Duration) float64 {
+	rateLimitAfter := func(interval time.Duration) float64 {
 		tc := newTestController(t, testSettings(), serverA)
-		tc.offerSteadily(gap, 8*time.Second, 30*millisecond)
+		tc.offerSteadily(interval, 8*time.Second, 30*millisecond)
 		s := tc.machine.servers[0]
 		for range 60 { // the server does not answer any more
 			tc.offer("write", 0)
@@ -111,12 +111,12 @@
 		}
 		return s.limit.rate
 	}
-	least := 1 / 0.5 / 4.0
-	if small := rateLimitAfter(1500 * millisecond); small > least/2 {
-		t.Errorf("a small server still gets %.2f calls a second of %.2f", small, least)
+	minProbeRate := 1 / 0.5 / 4.0
+	if small := rateLimitAfter(1500 * millisecond); small > minProbeRate/2 {
+		t.Errorf("a small server still gets %.2f calls a second of %.2f", small, minProbeRate)
 	}
-	if large := rateLimitAfter(20 * millisecond); large < least {
-		t.Errorf("a large server gets %.2f calls a second of %.2f", large, least)
+	if large := rateLimitAfter(20 * millisecond); large < minProbeRate {
+		t.Errorf("a large server gets %.2f calls a second of %.2f", large, minProbeRate)
 	}
 }
 
@@ -139,21 +139,21 @@
 }
 
 func TestRecoveryWaitsForEvidence(t *testing.T) {
-	grown := func(clean bool) float64 {
+	growth := func(withReport bool) float64 {
 		tc := newTestControllers(t, 100, serverA)[0]
 		tc.offerSteadily(5*time.Second, 40*time.Second, 50*millisecond)
 		s := tc.machine.findServer("a")
 		id, _ := tc.offer("read", 0)
 		tc.advance(time.Second)
 		tc.establish(id, "a", time.Second)
-		was := s.limit.rate
-		if clean {
+		before := s.limit.rate
+		if withReport {
 			tc.handle(LoadReported{Server: "a", OK: true, Load: LoadReport{QueueDelay: Optional{0.01, true}}})
 		}
 		tc.advance(3 * time.Second)
-		return s.limit.rate / was
+		return s.limit.rate / before
 	}
-	if without, with := grown(false), grown(true); without > 1.3 || with < 1.5 {
+	if without, with := growth(false), growth(true); without > 1.3 || with < 1.5 {
 		t.Errorf("in 3 s a rate limit grew to %.2f of its value without evidence of health, to %.2f with it",
 			without, with)
 	}
@@ -161,22 +161,22 @@
 
 // A controller of many calls must not be held to a few a period if no server is overloaded.
 func TestManyCallsWithoutRateLimit(t *testing.T) {
-	set := testSettings()
-	set.ControllerCount = 1
-	tc := newTestController(t, set, serverA)
+	settings := testSettings()
+	settings.ControllerCount = 1
+	tc := newTestController(t, settings, serverA)
 	tc.offerSteadily(100*millisecond, 5*time.Second, 40*millisecond)
-	asked, sent := 0, 0
+	offered, sent := 0, 0
 	for end := tc.now + 10*time.Second; tc.now < end; tc.advance(100 * millisecond) {
 		for range 4 { // all within one period
-			asked++
+			offered++
 			if id, s := tc.offer("read", 0); s != "" {
 				sent++
 				tc.establish(id, s, 40*millisecond)
 			}
 		}
 	}
-	if sent < asked {
-		t.Errorf("%d of %d calls were sent to an idle server", sent, asked)
+	if sent < offered {
+		t.Errorf("%d of %d calls were sent to an idle server", sent, offered)
 	}
 	s := tc.machine.findServer("a")
 	s.limit.rate, s.limit.overloadedAt = 35, tc.now
@@ -189,10 +189,10 @@
 // calls, while each answer comes at once.
 func TestProvenBurst(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
-	asked, sent := 0, 0
+	offered, sent := 0, 0
 	for end := tc.now + time.Second; tc.now < end; tc.advance(5 * millisecond) {
 		for range 2 { // 400 a second
-			asked++
+			offered++
 			if id, s := tc.offer("read", 0); s != "" {
 				sent++
 				tc.establish(id, s, 20*millisecond)
@@ -200,8 +200,8 @@
 			}
 		}
 	}
-	if sent < asked*3/4 {
-		t.Errorf("in its first second a controller sent %d of %d calls to a server that answers at once", sent, asked)
+	if sent < offered*3/4 {
+		t.Errorf("in its first second a controller sent %d of %d calls to a server that answers at once", sent, offered)
 	}
 }
 
@@ -253,24 +253,24 @@
 	const controllers, perWindow = 400, 2.4
 	sent := 0
 	for seed := range uint64(controllers) {
-		set := testSettings()
-		set.ControllerCount = controllers
-		c, err := NewStateMachine(set, seed)
+		settings := testSettings()
+		settings.ControllerCount = controllers
+		machine, err := NewStateMachine(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tc := &testController{t: t, machine: c, now: time.Hour}
-		tc.collect(c.Begin(tc.now))
+		tc := &testController{t: t, machine: machine, now: time.Hour}
+		tc.collect(machine.Begin(tc.now))
 		tc.handle(ServersUpdated{Full: true, Cached: true, Servers: []Server{serverA}})
-		tc.advance(10 * c.window)
-		s := c.servers[0]
-		c.recordOverload(s, c.latencyThreshold*3/2)
-		s.limit.rate = perWindow / highShare / c.span(s)
+		tc.advance(10 * machine.window)
+		s := machine.servers[0]
+		machine.recordOverload(s, machine.latencyThreshold*3/2)
+		s.limit.rate = perWindow / highShare / machine.span(s)
 		for range 6 { // at once and of high priority: only the window holds them back
 			s.limit.tokens = burstSize
 			if _, to := tc.offer("write", 0); to != "" {
 				sent++
-				s.attempts.pending, c.unansweredAttempts = nil, 0
+				s.attempts.pending, machine.unansweredAttempts = nil, 0
 			}
 		}
 	}
--- a/internal/admission/repeatability_test.go
+++ b/internal/admission/repeatability_test.go
@@ -55,12 +55,12 @@
 			ResultTimedOut, 2 * time.Second, "fail",
 		},
 	}
-	for _, k := range cases {
+	for _, tc := range cases {
 		seen := make(map[string]bool)
 		for seed := range uint64(60) {
-			class := k.class
+			class := tc.class
 			class.Name, class.LatencyObjective, class.Deadline, class.Weight = "k", 2*time.Second, 20*time.Second, 1
-			c, err := NewStateMachine(Settings{
+			machine, err := NewStateMachine(Settings{
 				ControllerCount: 1, Topology: "pools", Classes: []Class{class}, MaxAttempts: 4, CanCancel: true,
 				RetryGuard: 300 * time.Millisecond, SlowStartPeriod: time.Second, SlowStartShare: 0.5}, seed)
 			if err != nil {
@@ -68,8 +68,8 @@
 			}
 			now := Time(time.Hour)
 			var acts []Action
-			run := func(e Event) { acts = append(acts, c.Handle(now, e)...) }
-			c.Begin(now)
+			run := func(e Event) { acts = append(acts, machine.Handle(now, e)...) }
+			machine.Begin(now)
 			run(ServersUpdated{Full: true, Cached: true, Servers: servers})
 			// Time for the other servers to gain tokens of their ramps.
 			for range 30 {
@@ -79,14 +79,14 @@
 			acts = nil
 			run(CallOffered{CallID: "x", Class: "k", PreferredPool: 0, Deadline: now + 15*time.Second})
 			if s, ok := acts[0].(SendAttempt); !ok || s.Server != "a" {
-				t.Fatalf("%s: first %+v", k.what, acts)
+				t.Fatalf("%s: first %+v", tc.what, acts)
 			}
-			for end := now + k.after; now < end; {
+			for end := now + tc.after; now < end; {
 				now += 100 * time.Millisecond
 				run(TimerFired{Key: 0})
 			}
 			acts = nil
-			run(AttemptEnded{CallID: "x", Server: "a", Result: k.code})
+			run(AttemptEnded{CallID: "x", Server: "a", Result: tc.code})
 			now += 400 * time.Millisecond
 			for _, a := range acts {
 				if d, ok := a.(SetTimer); ok && d.Key > 0 {
@@ -107,47 +107,47 @@
 			seen[what] = true
 		}
 		want := make(map[string]bool)
-		if k.may == "fail" || k.may == "reject" {
-			want[k.may] = true
+		if tc.may == "fail" || tc.may == "reject" {
+			want[tc.may] = true
 		} else {
-			for _, s := range k.may {
+			for _, s := range tc.may {
 				want[string(s)] = true
 			}
 		}
 		for what := range seen {
 			if !want[what] {
-				t.Errorf("%s: %v, want of %v only", k.what, seen, want)
+				t.Errorf("%s: %v, want of %v only", tc.what, seen, want)
 				break
 			}
 		}
-		if len(seen) == 0 || k.may != "fail" && k.may != "reject" && fmt.Sprint(seen) == "map[]" {
-			t.Errorf("%s: nothing seen", k.what)
+		if len(seen) == 0 || tc.may != "fail" && tc.may != "reject" && fmt.Sprint(seen) == "map[]" {
+			t.Errorf("%s: nothing seen", tc.what)
 		}
 	}
 }
 
 // A lost attempt of a NonRepeatable call is not canceled: only its own answer can still establish the call.
 func TestNonRepeatableIsNotCanceled(t *testing.T) {
-	for _, effect := range []Repeatability{Idempotent, NonRepeatable} {
-		c, err := NewStateMachine(Settings{
+	for _, repeatability := range []Repeatability{Idempotent, NonRepeatable} {
+		machine, err := NewStateMachine(Settings{
 			ControllerCount: 1, Topology: "pools", MaxAttempts: 4, CanCancel: true,
 			RetryGuard: 300 * time.Millisecond, SlowStartPeriod: time.Second, SlowStartShare: 0.5,
 			Classes: []Class{{
 				Name: "k", LatencyObjective: time.Second, Deadline: 9 * time.Second, Weight: 1,
-				Repeatability: effect,
+				Repeatability: repeatability,
 			}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, off := Time(time.Hour), 0
+		now, cancellations := Time(time.Hour), 0
 		run := func(e Event) {
-			for _, a := range c.Handle(now, e) {
+			for _, a := range machine.Handle(now, e) {
 				if _, ok := a.(CancelAttempt); ok {
-					off++
+					cancellations++
 				}
 			}
 		}
-		c.Begin(now)
+		machine.Begin(now)
 		run(ServersUpdated{Full: true, Cached: true, Servers: []Server{{ID: "a", Pool: 0}, {ID: "b", Pool: 1}}})
 		run(CallOffered{CallID: "lost", Class: "k", Deadline: now + 8*time.Second})
 		now += 200 * time.Millisecond
@@ -158,8 +158,8 @@
 			now += 100 * time.Millisecond
 			run(TimerFired{Key: 0})
 		}
-		if (off > 0) != (effect == Idempotent) {
-			t.Errorf("repeatability %v: canceled %d times", effect, off)
+		if (cancellations > 0) != (repeatability == Idempotent) {
+			t.Errorf("repeatability %v: canceled %d times", repeatability, cancellations)
 		}
 	}
 }
--- a/internal/admission/responsiveness_test.go
+++ b/internal/admission/responsiveness_test.go
@@ -15,7 +15,7 @@
 		tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
 		s := tc.machine.servers[0]
 		for range lost { // they are never answered
-			if _, to := tc.offer("write", 0); to != "a" {
+			if _, server := tc.offer("write", 0); server != "a" {
 				t.Fatal("a server that answers steadily received no attempt")
 			}
 		}
@@ -23,15 +23,15 @@
 		if math.IsInf(s.limit.rate, 1) {
 			t.Fatal("a silent server has no rate limit")
 		}
-		id, to := tc.offer("read", 0)
-		if to != "a" {
+		id, server := tc.offer("read", 0)
+		if server != "a" {
 			t.Fatalf("%d lost: no probe was sent", lost)
 		}
-		if _, to := tc.offer("read", 0); to != "" {
+		if _, server := tc.offer("read", 0); server != "" {
 			t.Errorf("%d lost: two probes at once", lost)
 		}
 		tc.advance(30 * millisecond)
-		tc.establish(id, to, 30*millisecond)
+		tc.establish(id, server, 30*millisecond)
 		if !math.IsInf(s.limit.rate, 1) || len(s.attempts.pending) > 0 {
 			t.Errorf("%d lost: rate limit %v, %d pending", lost, s.limit.rate, len(s.attempts.pending))
 		}
@@ -41,7 +41,7 @@
 // Late answers to attempts sent with a lost one say nothing about it; a timely one to a later attempt does. A
 // rejection for overload confirms the suspicion.
 func TestLostAttemptKeepsSuspicionOpen(t *testing.T) {
-	for _, full := range []bool{false, true} {
+	for _, isRejected := range []bool{false, true} {
 		tc := newTestController(t, testSettings(), serverA)
 		tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
 		s := tc.machine.servers[0]
@@ -60,14 +60,14 @@
 			}
 			tc.advance(5 * millisecond)
 		}
-		if full {
+		if isRejected {
 			tc.endAttempt(ids[1], "a", ResultServerBusy, CauseProcessorBusy)
 		} else {
 			tc.establish(ids[1], "a", 450*millisecond)
 		}
 		tc.establish(ids[2], "a", 400*millisecond)
-		if excused := math.IsInf(s.limit.rate, 1); excused == full {
-			t.Errorf("rejected for overload %v: suspicion cleared %v", full, excused)
+		if isCleared := math.IsInf(s.limit.rate, 1); isCleared == isRejected {
+			t.Errorf("rejected for overload %v: suspicion cleared %v", isRejected, isCleared)
 		}
 	}
 }
@@ -78,19 +78,19 @@
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
 	s := tc.machine.servers[0]
-	var out []string
+	var pending []string
 	for range 3 {
 		id, to := tc.offer("write", 0)
 		if to != "a" {
 			t.Fatal("a server that answers steadily received no attempt")
 		}
-		out = append(out, id)
+		pending = append(pending, id)
 	}
 	tc.advance(700 * millisecond)
 	if math.IsInf(s.limit.rate, 1) || s.limit.provenBurst > 0 {
 		t.Fatal("a silent server has no rate limit")
 	}
-	for _, id := range out {
+	for _, id := range pending {
 		tc.endAttempt(id, "a", ResultConnectionLost, CauseConnectionUnresponsive)
 	}
 	if !math.IsInf(s.limit.rate, 1) {
@@ -137,13 +137,13 @@
 func TestControllerStall(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
-	one, s := tc.offer("read", 0)
-	two, _ := tc.offer("read", 0)
+	first, s := tc.offer("read", 0)
+	second, _ := tc.offer("read", 0)
 	tc.now += 1500 * millisecond // no timer fired meanwhile
-	tc.establish(one, s, 1500*millisecond)
-	tc.establish(two, s, 1500*millisecond)
-	if c := tc.machine.servers[0].limit.rate; !math.IsInf(c, 1) {
-		t.Errorf("the controller's own stall set a rate limit of %v", c)
+	tc.establish(first, s, 1500*millisecond)
+	tc.establish(second, s, 1500*millisecond)
+	if rate := tc.machine.servers[0].limit.rate; !math.IsInf(rate, 1) {
+		t.Errorf("the controller's own stall set a rate limit of %v", rate)
 	}
 }
 
@@ -177,49 +177,49 @@
 func TestCancellationCountsAsTimeout(t *testing.T) {
 	tc := newTestControllers(t, 100, serverA, serverB)[0]
 	for range 20 { // both answer quickly, one call in two seconds each
-		for first, name := range []string{"a", "b"} {
-			id, _ := tc.offer("read", first)
+		for pool, name := range []string{"a", "b"} {
+			id, _ := tc.offer("read", pool)
 			tc.establish(id, name, 50*millisecond)
 		}
 		tc.advance(2 * time.Second)
 	}
-	was := tc.machine.rate(tc.machine.findServer("a"), &tc.machine.findServer("a").counts.answered)
+	rateBefore := tc.machine.rate(tc.machine.findServer("a"), &tc.machine.findServer("a").counts.answered)
 	id, _ := tc.offer("read", 0)
-	called := false
+	isCanceled := false
 	for range 40 {
 		other, _ := tc.offer("read", 1)
 		tc.establish(other, "b", 50*millisecond)
-		called = hasAction[CancelAttempt](tc.advance(50*millisecond)) || called
+		isCanceled = hasAction[CancelAttempt](tc.advance(50*millisecond)) || isCanceled
 	}
 	tc.endAttempt(id, "a", ResultCanceled, CauseNone)
-	if got := tc.machine.findServer("a").limit.rate; !called || got > was/2 {
-		t.Errorf("canceled: %v; rate limit %.2f/s of %.2f/s answered before", called, got, was)
+	if got := tc.machine.findServer("a").limit.rate; !isCanceled || got > rateBefore/2 {
+		t.Errorf("canceled: %v; rate limit %.2f/s of %.2f/s answered before", isCanceled, got, rateBefore)
 	}
 }
 
 // Where answers are quick, an overtaken attempt counts as lost long before a period has passed, and does not
 // limit its server.
 func TestLostAttemptLimitsNoQuickServer(t *testing.T) {
-	set := testSettings()
-	set.ResendInterval = 120 * millisecond
-	tc := newTestController(t, set, serverA)
+	settings := testSettings()
+	settings.ResendInterval = 120 * millisecond
+	tc := newTestController(t, settings, serverA)
 	tc.offerSteadily(20*millisecond, 4*time.Second, 15*millisecond)
 	if _, s := tc.offer("read", 0); s == "" {
 		t.Fatal("the server was not used")
 	}
-	var out []string // answered 40 ms after they were sent
+	var pending []string // answered 40 ms after they were sent
 	for range 30 {
 		tc.advance(10 * millisecond)
 		if id, s := tc.offer("read", 0); s != "" {
-			out = append(out, id)
+			pending = append(pending, id)
 		}
-		if len(out) > 3 {
-			tc.establish(out[0], "a", 40*millisecond)
-			out = out[1:]
+		if len(pending) > 3 {
+			tc.establish(pending[0], "a", 40*millisecond)
+			pending = pending[1:]
 		}
 	}
-	if c := tc.machine.servers[0].limit.rate; !math.IsInf(c, 1) {
-		t.Errorf("one lost attempt set a rate limit of %v", c)
+	if rate := tc.machine.servers[0].limit.rate; !math.IsInf(rate, 1) {
+		t.Errorf("one lost attempt set a rate limit of %v", rate)
 	}
 }
 
@@ -242,23 +242,23 @@
 		if s != "s20" {
 			t.Fatalf("answers after %v: the call went to %q", c.took, s)
 		}
-		off := false
+		isCanceled := false
 		for i := range 8 { // another server answers quickly all the while, and a third as before
-			other, o := tc.offer("write", 12+i%4)
-			third, p := tc.offer("write", 16+i%4)
+			other, otherServer := tc.offer("write", 12+i%4)
+			third, thirdServer := tc.offer("write", 16+i%4)
 			for _, a := range tc.advance(150 * millisecond) {
 				x, is := a.(CancelAttempt)
-				off = off || is && x.CallID == id
+				isCanceled = isCanceled || is && x.CallID == id
 			}
-			if o != "" {
-				tc.establish(other, o, 60*millisecond)
+			if otherServer != "" {
+				tc.establish(other, otherServer, 60*millisecond)
 			}
-			if p != "" {
-				tc.establish(third, p, c.took)
+			if thirdServer != "" {
+				tc.establish(third, thirdServer, c.took)
 			}
 		}
-		if off != c.want {
-			t.Errorf("answers after %v: canceled %v, want %v", c.took, off, c.want)
+		if isCanceled != c.want {
+			t.Errorf("answers after %v: canceled %v, want %v", c.took, isCanceled, c.want)
 		}
 	}
 }
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -7,18 +7,18 @@
 
 // A call whose attempt may still be running is sent again after the retry guard only.
 func TestRetryGuard(t *testing.T) {
-	for _, code := range []AttemptResult{ResultTimedOut, ResultConnectionLost, ResultCanceled} {
+	for _, result := range []AttemptResult{ResultTimedOut, ResultConnectionLost, ResultCanceled} {
 		tc := newTestController(t, testSettings(), serverA, serverB)
 		id, s := tc.offer("write", 0)
 		tc.advance(100 * millisecond)
-		if acts := tc.endAttempt(id, s, code, CauseNone); hasAction[SendAttempt](acts) {
-			t.Errorf("result %v: sent again at once", code)
+		if acts := tc.endAttempt(id, s, result, CauseNone); hasAction[SendAttempt](acts) {
+			t.Errorf("result %v: sent again at once", result)
 		}
 		if acts := tc.advance(245 * millisecond); hasAction[SendAttempt](acts) {
-			t.Errorf("result %v: sent again within the guard", code)
+			t.Errorf("result %v: sent again within the guard", result)
 		}
 		if acts := tc.advance(10 * millisecond); sentServer(acts) != "b" {
-			t.Errorf("result %v: not sent again after the guard: %v", code, acts)
+			t.Errorf("result %v: not sent again after the guard: %v", result, acts)
 		}
 	}
 }
@@ -32,9 +32,9 @@
 }
 
 func TestMaxAttempts(t *testing.T) {
-	set := testSettings()
-	set.MaxAttempts = 1
-	tc := newTestController(t, set, serverA, serverB)
+	settings := testSettings()
+	settings.MaxAttempts = 1
+	tc := newTestController(t, settings, serverA, serverB)
 	id, s := tc.offer("write", 0)
 	acts := tc.endAttempt(id, s, ResultDialFailed, CauseNone)
 	if hasAction[SendAttempt](acts) || !hasAction[FailCall](acts) {
@@ -47,16 +47,16 @@
 	tc := newTestController(t, testSettings(), serverA)
 	tc.machine.servers[0].backoffUntil = tc.now + 2*time.Second
 	tc.offer("read", 0)
-	if f, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || f.RetryAfter != 2*time.Second {
+	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter != 2*time.Second {
 		t.Errorf("got %+v, want a rejection with 2 s", tc.actions)
 	}
 	tc.machine.servers[0].backoffUntil = tc.now + time.Hour
 	tc.offer("read", 0)
-	if f, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || f.RetryAfter != tc.machine.window {
+	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter != tc.machine.window {
 		t.Errorf("got %+v, want a rejection with a window", tc.actions)
 	}
 	tc.offerCall(CallOffered{CallID: "odd", Class: "nobody", Deadline: tc.now + time.Second})
-	if f, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || f.RetryAfter <= 0 {
+	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter <= 0 {
 		t.Errorf("an unknown class: %+v, want a rejection with a retry-after time", tc.actions)
 	}
 }
--- a/internal/admission/selection_test.go
+++ b/internal/admission/selection_test.go
@@ -7,9 +7,9 @@
 
 func TestPreferredPool(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA, serverB)
-	for first, want := range []string{"a", "b"} {
-		if _, got := tc.offer("read", first); got != want {
-			t.Errorf("a call that prefers pool %d went to %q, want %q", first, got, want)
+	for pool, want := range []string{"a", "b"} {
+		if _, got := tc.offer("read", pool); got != want {
+			t.Errorf("a call that prefers pool %d went to %q, want %q", pool, got, want)
 		}
 	}
 }
@@ -25,9 +25,9 @@
 	tc.machine.poolPeakRates[1] = 100
 	got := map[string]int{}
 	for range 200 {
-		k := &call{class: tc.machine.classes["read"], priority: priorityNormal}
+		nextCall := &call{class: tc.machine.classes["read"], priority: priorityNormal}
 		tc.machine.servers[1].ramp.tokens, tc.machine.servers[2].ramp.tokens = 2, 2
-		got[tc.machine.selectServer(k).ID]++
+		got[tc.machine.selectServer(nextCall).ID]++
 	}
 	if got["c"] < 130 || got["b"] == 0 || got["a"] != 0 {
 		t.Errorf("picks %v: want about three quarters at c, the rest at b", got)
@@ -43,11 +43,11 @@
 
 // Draining and removed servers receive no attempt.
 func TestNoAttemptToDrainingServer(t *testing.T) {
-	for _, phase := range []ServerState{Draining, Removed} {
+	for _, state := range []ServerState{Draining, Removed} {
 		tc := newTestController(t, testSettings(), serverA)
-		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", State: phase}}})
+		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", State: state}}})
 		if _, s := tc.offer("write", 0); s != "" {
-			t.Errorf("state %v: a call was sent", phase)
+			t.Errorf("state %v: a call was sent", state)
 		}
 	}
 	tc := newTestController(t, testSettings(), serverA, serverB)
@@ -60,54 +60,54 @@
 // A call goes to its permitted pools only, in their order, and nowhere if none of them is active.
 func TestPermittedPools(t *testing.T) {
 	settings := testSettings()
-	c, err := NewStateMachine(settings, 1)
+	machine, err := NewStateMachine(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Time(time.Hour)
-	c.Begin(now)
-	c.Handle(now, ServersUpdated{
+	machine.Begin(now)
+	machine.Handle(now, ServersUpdated{
 		Full: true, Servers: []Server{{ID: "a", Pool: 0}, {ID: "b", Pool: 1}, {ID: "c", Pool: 2}},
 	})
-	ask := func(id string, pools ...int) string {
+	place := func(id string, pools ...int) string {
 		now += 50 * time.Millisecond
-		acts := c.Handle(now, CallOffered{
+		acts := machine.Handle(now, CallOffered{
 			CallID: id, Class: settings.Classes[0].Name, PreferredPool: pools[0], Pools: pools,
 			Deadline: now + time.Second,
 		})
 		for _, a := range acts {
 			if s, ok := a.(SendAttempt); ok {
-				c.Handle(now, CallEstablished{CallID: id, Server: s.Server, SetupTime: time.Millisecond})
+				machine.Handle(now, CallEstablished{CallID: id, Server: s.Server, SetupTime: time.Millisecond})
 				return s.Server
 			}
 		}
 		return ""
 	}
-	if got := ask("1", 2, 1); got != "c" {
+	if got := place("1", 2, 1); got != "c" {
 		t.Errorf("the preferred pool is 2, sent to %q", got)
 	}
-	c.Handle(now, ServersUpdated{Servers: []Server{{ID: "c", Pool: 2, State: Draining}}})
-	if got := ask("2", 2, 1); got != "b" {
+	machine.Handle(now, ServersUpdated{Servers: []Server{{ID: "c", Pool: 2, State: Draining}}})
+	if got := place("2", 2, 1); got != "b" {
 		t.Errorf("the next pool is 1, sent to %q", got)
 	}
-	c.Handle(now, ServersUpdated{Servers: []Server{{ID: "b", Pool: 1, State: Removed}}})
-	if got := ask("3", 2, 1); got != "" {
+	machine.Handle(now, ServersUpdated{Servers: []Server{{ID: "b", Pool: 1, State: Removed}}})
+	if got := place("3", 2, 1); got != "" {
 		t.Errorf("no permitted pool is active, sent to %q", got)
 	}
 }
 
 func TestOverflowSparesSmallServers(t *testing.T) {
 	small, large := 0, 0
-	full := func(tc *testController, name string, free, lines float64) {
+	reportCircuits := func(tc *testController, name string, free, total float64) {
 		tc.handle(LoadReported{
 			Server: name, OK: true,
-			Load: LoadReport{FreeCircuits: Optional{free, true}, TotalCircuits: Optional{lines, true}},
+			Load: LoadReport{FreeCircuits: Optional{free, true}, TotalCircuits: Optional{total, true}},
 		})
 	}
 	for _, tc := range newTestControllers(t, 300, serverA, serverB, Server{ID: "c", Pool: 2}) {
-		full(tc, "a", 0, 100)
-		full(tc, "b", 100, 120)
-		full(tc, "c", 100, 280)
+		reportCircuits(tc, "a", 0, 100)
+		reportCircuits(tc, "b", 100, 120)
+		reportCircuits(tc, "c", 100, 280)
 		switch _, s := tc.offer("read", 0); s {
 		case "b":
 			small++
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -58,14 +58,14 @@
 
 // A restarted server with a slow-start share of 0 must receive calls again.
 func TestSlowStartShareZero(t *testing.T) {
-	for _, size := range []int{1, 1000} {
-		set := testSettings()
-		set.SlowStartShare, set.ControllerCount = 0, size
-		tc := newTestController(t, set, serverA)
+	for _, controllers := range []int{1, 1000} {
+		settings := testSettings()
+		settings.SlowStartShare, settings.ControllerCount = 0, controllers
+		tc := newTestController(t, settings, serverA)
 		tc.offerSteadily(500*millisecond, 20*time.Second, 40*millisecond)
 		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", Started: tc.now}}})
 		if sent := tc.offerSteadily(500*millisecond, 20*time.Second, 40*millisecond); sent < 15 {
-			t.Errorf("%d controllers: %d of 40 calls in 20 s went to a server that started with share 0", size, sent)
+			t.Errorf("%d controllers: %d of 40 calls in 20 s went to a server that started with share 0", controllers, sent)
 		}
 	}
 }
--- a/internal/admission/statemachine_test.go
+++ b/internal/admission/statemachine_test.go
@@ -79,16 +79,16 @@
 
 // Where the server list must be watched on request, a failed watch is repeated, but not at once.
 func TestFailedWatchIsRepeated(t *testing.T) {
-	set := testSettings()
-	set.WatchServersOnRequest = true
-	c, err := NewStateMachine(set, 1)
+	settings := testSettings()
+	settings.WatchServersOnRequest = true
+	machine, err := NewStateMachine(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !hasAction[WatchServers](c.Begin(0)) {
+	if !hasAction[WatchServers](machine.Begin(0)) {
 		t.Error("the server list was not watched at the start")
 	}
-	tc := newTestController(t, set, serverA)
+	tc := newTestController(t, settings, serverA)
 	if acts := tc.handle(ServersUpdated{Failed: true}); hasAction[WatchServers](acts) {
 		t.Error("watched again at once")
 	}
@@ -104,7 +104,7 @@
 func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		text, field string
-		spoil       func(*Settings)
+		invalidate  func(*Settings)
 	}{
 		{"topology", "Topology", func(s *Settings) { s.Topology = "mesh" }},
 		{"no classes", "Classes", func(s *Settings) { s.Classes = nil }},
@@ -117,9 +117,9 @@
 		{"class \"read\"", "Classes", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
 	} {
 		t.Run(c.field, func(t *testing.T) {
-			set := testSettings()
-			c.spoil(&set)
-			_, err := NewStateMachine(set, 1)
+			settings := testSettings()
+			c.invalidate(&settings)
+			_, err := NewStateMachine(settings, 1)
 			if err == nil || !strings.Contains(err.Error(), c.text) {
 				t.Errorf("error %v does not say %q", err, c.text)
 			}
@@ -156,7 +156,7 @@
 	for i := range many {
 		many[i] = Server{ID: fmt.Sprint("s", i), Pool: i}
 	}
-	for name, spoil := range map[string]func(*Settings){
+	for name, modify := range map[string]func(*Settings){
 		"default":                   func(*Settings) {},
 		"alone":                     func(s *Settings) { s.ControllerCount = 1 },
 		"one of a thousand":         func(s *Settings) { s.ControllerCount = 1000 },
@@ -170,9 +170,9 @@
 		"may not cancel":            func(s *Settings) { s.CanCancel = false },
 	} {
 		for _, servers := range [][]Server{{serverA}, {serverA, serverB}, many} {
-			set := testSettings()
-			spoil(&set)
-			tc := newTestController(t, set, servers...)
+			settings := testSettings()
+			modify(&settings)
+			tc := newTestController(t, settings, servers...)
 			offered, established := 0, 0
 			for end := tc.now + time.Minute; tc.now < end; tc.advance(500 * millisecond) {
 				offered++
