--- a/internal/admission/callstate_test.go
+++ b/internal/admission/callstate_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A call passes through its states as the methods document.
+// The methods of call make the transitions that callState documents.
 func TestCallStates(t *testing.T) {
 	c, s := &call{}, &server{}
 	expect := func(what string, want callState) {
 		t.Helper()
 		if c.state != want {
-			t.Errorf("%s: the call is %v, want %v", what, c.state, want)
+			t.Errorf("%s: call state %v, want %v", what, c.state, want)
 		}
 		isOpen := want == callAttempting || want == callEstablished
 		if (c.server != nil) != isOpen {
-			t.Errorf("%s: an attempt is open: %v, want %v", what, c.server != nil, isOpen)
+			t.Errorf("%s: open attempt %v, want %v", what, c.server != nil, isOpen)
 		}
 	}
 	expect("new", callPlacing)
@@ -43,7 +43,7 @@
 		callState(9): "callState(9)",
 	} {
 		if got := state.String(); got != want {
-			t.Errorf("state %d is called %q, want %q", int(state), got, want)
+			t.Errorf("state %d: String() = %q, want %q", int(state), got, want)
 		}
 	}
 }
--- a/internal/admission/estimate_test.go
+++ b/internal/admission/estimate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Where all times of the settings are a quarter, calls find their way to another pool in a quarter of the time.
+// If all durations of the settings are divided by four, calls move to another pool in a quarter of the time.
 func TestRatesScaleWithSettings(t *testing.T) {
 	countSent := func(scale time.Duration) (sent int) {
 		settings := testSettings()
@@ -23,12 +23,12 @@
 	}
 	slow, fast := countSent(1), countSent(4)
 	if slow < 50 || fast < slow*9/10 || fast > slow*11/10 {
-		t.Errorf("%d calls to the other pool, %d where all times are a quarter", slow, fast)
+		t.Errorf("%d calls sent to the other pool, but %d with all durations divided by four", slow, fast)
 	}
 }
 
-// A controller that has just started learns from its first answers what a server can receive at once, before a
-// whole window has passed.
+// A controller that has just started derives the burst that a server can take from its first answers, before a full
+// window has passed.
 func TestFirstAnswersRaisePoolPeak(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 800*millisecond, 50*millisecond)
@@ -39,6 +39,6 @@
 		}
 	}
 	if sent <= burstSize || sent == 10 {
-		t.Errorf("%d of 10 calls sent at once", sent)
+		t.Errorf("%d of 10 calls were sent at once", sent)
 	}
 }
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/admission"
 )
 
-// The host hands events to the state machine and carries out the actions.
+// The host passes events to the state machine and executes the returned actions.
 func Example() {
 	machine, err := admission.NewStateMachine(admission.Settings{
 		ControllerCount: 5, Topology: "pools", MaxAttempts: 3, CanCancel: true,
@@ -21,7 +21,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := 10 * time.Second // any clock that does not go back
+	now := 10 * time.Second // any monotonic clock
 	show := func(actions []admission.Action) {
 		for _, a := range actions {
 			fmt.Printf("%T %+v\n", a, a)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden decision traces of this build")
+var updateGolden = flag.Bool("update", false, "update the golden file with the traces of this build")
 
 const (
 	goldenFile  = "testdata/decisions.golden"
@@ -23,13 +23,13 @@
 	goldenSteps = 3000
 )
 
-// TestDecisionsAreUnchanged compares hashes of all actions, of all calls of the overload control and of the state
-// of the random generator with those of the build that wrote the golden file. Labels in the trace are fixed text,
-// so that a renamed Go identifier does not change a hash.
+// TestDecisionsAreUnchanged compares hashes of all actions, all calls of the overload control and the state of the
+// random number generator with the golden file. The labels in the traces are fixed strings, so that renaming a Go
+// identifier does not change a hash.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	var lines []string
 	for seed := range uint64(goldenSeeds) {
-		lines = append(lines, fmt.Sprintf("storm %d %s", seed, stormTrace(t, seed)))
+		lines = append(lines, fmt.Sprintf("random %d %s", seed, randomEventsTrace(t, seed)))
 	}
 	for seed := range uint64(goldenSeeds) {
 		lines = append(lines, fmt.Sprintf("traffic %d %s", seed, trafficTrace(t, seed)))
@@ -55,8 +55,8 @@
 	}
 }
 
-// stormTrace hashes the actions that the random events of a storm cause.
-func stormTrace(t *testing.T, seed uint64) string {
+// randomEventsTrace hashes the actions that result from random events.
+func randomEventsTrace(t *testing.T, seed uint64) string {
 	events := newRandomEvents(t, seed)
 	for range goldenSteps {
 		events.step()
@@ -72,7 +72,7 @@
 
 var numberInText = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
 
-// writeAction writes an action with labels that do not depend on Go names.
+// writeAction writes an action to a hash, with labels that are independent of Go identifiers.
 func writeAction(h hash.Hash, now Time, action Action) {
 	switch a := action.(type) {
 	case SendAttempt:
@@ -96,7 +96,7 @@
 	}
 }
 
-// recordingControl writes each call of the overload control to a trace and throttles at random in some of the runs.
+// recordingControl is an OverloadControl that writes each call to a hash and, in some runs, throttles at random.
 type recordingControl struct {
 	h         hash.Hash
 	rng       *rand.Rand
@@ -130,7 +130,7 @@
 	return ReasonFleetThrottle, true
 }
 
-// behavior is how a simulated server treats attempts for a while.
+// behavior is the current response of a simulated server to attempts.
 type behavior int
 
 const (
@@ -151,7 +151,7 @@
 	circuits float64
 }
 
-// pendingEvent is an event that the simulation delivers at a time.
+// pendingEvent is an event that the simulation delivers at a given time.
 type pendingEvent struct {
 	at      Time
 	call    string
@@ -159,7 +159,7 @@
 	event   Event
 }
 
-// traffic drives a state machine with calls, servers that change their behaviour, and reports.
+// traffic drives a state machine with calls, load reports and servers that change their behavior.
 type traffic struct {
 	machine *StateMachine
 	now     Time
@@ -251,7 +251,7 @@
 	return s.servers[slices.IndexFunc(s.servers, func(srv *simulatedServer) bool { return srv.ID == id })]
 }
 
-// start schedules what becomes of an attempt.
+// start schedules the outcome of an attempt.
 func (s *traffic) start(x SendAttempt) {
 	attempt := s.attempt[x.CallID]
 	s.attempt[x.CallID]++
@@ -333,7 +333,7 @@
 
 func (s *traffic) step() {
 	s.now += 10 * millisecond
-	if s.rng.IntN(700) == 0 { // the controller's own process stalls
+	if s.rng.IntN(700) == 0 { // the process of the controller stalls
 		s.now += time.Duration(300+s.rng.IntN(1200)) * millisecond
 	}
 	for {
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A testController hands events to a StateMachine and keeps its timers.
+// A testController passes events to a StateMachine and manages its timers.
 type testController struct {
 	t            *testing.T
 	machine      *StateMachine
@@ -50,7 +50,7 @@
 	return tc
 }
 
-// newTestControllers makes n controllers that share nothing but their settings.
+// newTestControllers returns n independent controllers with the same settings and different seeds.
 func newTestControllers(t *testing.T, n int, servers ...Server) []*testController {
 	t.Helper()
 	settings := testSettings()
@@ -69,8 +69,8 @@
 	return controllers
 }
 
-// newControllerOfManyServers returns one of a hundred controllers, which sends few calls to each of 24 servers and
-// has received timely answers for a while.
+// newControllerOfManyServers returns one of a hundred controllers, which has sent few calls to each of 24 servers
+// and received timely answers for a while.
 func newControllerOfManyServers(t *testing.T) *testController {
 	t.Helper()
 	settings := testSettings()
@@ -106,7 +106,7 @@
 	return tc.actions
 }
 
-// advance passes time in steps of 5 ms, fires the timers that are due and returns all actions.
+// advance advances the clock in steps of 5 ms, fires the timers that are due and returns all actions.
 func (tc *testController) advance(d time.Duration) []Action {
 	var all []Action
 	for end := tc.now + d; tc.now < end; {
@@ -126,7 +126,7 @@
 	return all
 }
 
-// offer offers a new call and returns the server to which it was sent, "" if none.
+// offer offers a new call and returns the server to which it was sent, "" if it was not sent.
 func (tc *testController) offer(class string, preferredPool int) (id, server string) {
 	tc.offeredCalls++
 	id = fmt.Sprintf("%016x", tc.offeredCalls)
@@ -161,7 +161,8 @@
 
 var serverA, serverB = Server{ID: "a", Pool: 0}, Server{ID: "b", Pool: 1}
 
-// offerSteadily offers a call each gap for d. The first pool answers each after took.
+// offerSteadily offers a call per interval for the given duration. Each call that is sent is established after
+// setupTime and ends at once. It returns the number of calls sent.
 func (tc *testController) offerSteadily(interval, duration, setupTime time.Duration) (sent int) {
 	for end := tc.now + duration; tc.now < end; {
 		if id, s := tc.offer("read", 0); s != "" {
@@ -174,5 +175,5 @@
 	return sent
 }
 
-// isForgotten reports whether a call has its final answer and no open attempt.
+// isForgotten reports whether a call has been deleted: it has its final answer and no open attempt.
 func (tc *testController) isForgotten(id string) bool { return tc.machine.calls.byID[id] == nil }
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A pool without a free circuit is not an overloaded processor.
+// A pool without a free circuit is not treated as an overloaded processor.
 func TestNoCircuitSetsNoRateLimit(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	id, s := tc.offer("read", 0)
@@ -21,14 +21,14 @@
 	}
 	tc.handle(LoadReported{Server: "a", OK: true, Load: LoadReport{FreeCircuits: Optional{3, true}}})
 	if _, s := tc.offer("read", 0); s != "a" {
-		t.Error("a pool that has circuits again was not used")
+		t.Error("a pool with free circuits again received no call")
 	}
 	if _, s := tc.offer("read", 0); s == "a" {
-		t.Error("three free circuits for four controllers: this one took two")
+		t.Error("one of four controllers took two of three free circuits")
 	}
 }
 
-// The last circuits must not go to redialed calls.
+// The last free circuits are reserved for calls that are not redialed.
 func TestScarceCircuitsTakeNoRedials(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.handle(LoadReported{Server: "a", OK: true, Load: LoadReport{FreeCircuits: Optional{3, true}}})
@@ -49,7 +49,7 @@
 		tc := newTestControllers(t, 100, serverA)[0]
 		tc.handle(LoadReported{Server: "a", OK: true, Load: load})
 		if _, s := tc.offer("read", 0); s != "" {
-			t.Errorf("%s: a call went to a server that just reported a wait of 1.5 s", name)
+			t.Errorf("%s: a call was sent to a server that had just reported a wait of 1.5 s", name)
 		}
 		tc.advance(5 * time.Second)
 		id, _ := tc.offer("read", 0)
@@ -57,22 +57,22 @@
 		tc.machine.findServer("a").limit.rate, tc.machine.findServer("a").limit.tokens = math.Inf(1), burstSize
 		tc.handle(LoadReported{Server: "a", OK: true, Load: load})
 		if _, s := tc.offer("read", 0); s == "" {
-			t.Errorf("%s: a load report, perhaps late, outweighed a fresh answer", name)
+			t.Errorf("%s: a load report, which may be outdated, overrode a recent answer", name)
 		}
 	}
 }
 
-// Circuits count as free again once their calls have ended.
+// The circuits of calls that have ended count as free.
 func TestEndedCallsFreeCircuits(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.handle(LoadReported{
 		Server: "a", OK: true,
 		Load: LoadReport{FreeCircuits: Optional{40, true}, TotalCircuits: Optional{40, true}},
 	})
-	for i := range 30 { // each ends before the next comes
+	for i := range 30 { // each call ends before the next one is offered
 		id, s := tc.offer("write", 0)
 		if s == "" {
-			t.Fatalf("call %d found no circuit though all before it had ended", i)
+			t.Fatalf("call %d got no circuit although all earlier calls had ended", i)
 		}
 		tc.establish(id, s, 20*millisecond)
 		tc.handle(AttemptEnded{CallID: id, Server: s, Result: ResultDelivered, Final: true})
--- a/internal/admission/overloadcontrol_test.go
+++ b/internal/admission/overloadcontrol_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A fakeOverloadControl throttles as a test decides and counts what is recorded.
+// A fakeOverloadControl throttles by a function of the test and counts the recorded events.
 type fakeOverloadControl struct {
 	throttle      func(server string, priority Priority, first bool) (Reason, bool)
 	throttleCalls int
@@ -36,8 +36,8 @@
 	}
 }
 
-// The overload control holds a call back from its preferred server. The call goes to another server, or is
-// rejected with ReasonFleetThrottle if there is none.
+// A call that the overload control withholds from its preferred server goes to another server, or is rejected with
+// ReasonFleetThrottle if there is none.
 func TestOverloadControlHoldsBack(t *testing.T) {
 	tc := newTestController(t, testSettings(), Server{ID: "s0"}, Server{ID: "s1", Pool: 1})
 	held := map[string]bool{"s0": true}
@@ -49,7 +49,7 @@
 	})
 	tc.machine.overloadControl = f
 	if _, s := tc.offer("read", 0); s != "s1" {
-		t.Errorf("a call held back from s0 went to %q, want s1", s)
+		t.Errorf("a call withheld from s0 went to %q, want s1", s)
 	}
 	held["s1"] = true
 	acts := tc.handle(CallOffered{CallID: "x", Class: "read", Number: "9", Deadline: tc.now + time.Second})
@@ -60,16 +60,16 @@
 		}
 	}
 	if reason != ReasonFleetThrottle {
-		t.Errorf("a call held back from both was answered %v, want a rejection with reason %q",
+		t.Errorf("a call withheld from both servers led to %v, want a rejection with reason %q",
 			acts, ReasonFleetThrottle)
 	}
 	if f.offered["s0"] != 2 || f.sent["s1"] != 1 {
-		t.Errorf("the overload control recorded %v offered and %v sent", f.offered, f.sent)
+		t.Errorf("the overload control recorded offered calls %v and sent attempts %v", f.offered, f.sent)
 	}
 }
 
-// The overload control cannot open a server that the list or the controller's own evidence forbids: it is not
-// even asked about it.
+// The overload control is not consulted about servers that are unavailable by the server list or by the controller's
+// own observations.
 func TestOverloadControlOpensNothing(t *testing.T) {
 	admitAll := func(string, Priority, bool) (Reason, bool) { return "", true }
 	for _, c := range []struct {
@@ -88,7 +88,7 @@
 		{"without a free circuit", func(tc *testController) {
 			tc.machine.servers[0].circuits.free, tc.machine.servers[0].circuits.freeUntil = 0, tc.now+time.Second
 		}},
-		{"in slow start and sent its share", func(tc *testController) {
+		{"in slow start without a token", func(tc *testController) {
 			tc.machine.servers[0].ramp.inSlowStart, tc.machine.servers[0].ramp.tokens = true, 0
 		}},
 		{"with a full queue", func(tc *testController) {
@@ -103,12 +103,12 @@
 		c.do(tc)
 		f.throttleCalls = 0
 		if _, s := tc.offer("read", 0); s != "" || f.throttleCalls > 0 {
-			t.Errorf("%s: the call went to %q, the overload control was asked %d times", c.name, s, f.throttleCalls)
+			t.Errorf("%s: the call went to %q, and Throttle was called %d times", c.name, s, f.throttleCalls)
 		}
 	}
 }
 
-// Each attempt that is sent has exactly one result, and late answers are recorded as overload.
+// Exactly one result is recorded for each attempt, and late answers are recorded as overload.
 func TestOverloadControlGetsEachResult(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newRandomEvents(t, seed)
@@ -120,7 +120,7 @@
 		s.endAll()
 		for server, n := range f.unanswered {
 			if n != 0 {
-				t.Errorf("seed %d: %d attempts sent to %s have no result, or two", seed, n, server)
+				t.Errorf("seed %d: attempts minus results is %d for server %s, want 0", seed, n, server)
 			}
 		}
 		if f.overloads == 0 {
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -21,8 +21,8 @@
 	packageDir       = "internal/admission"
 )
 
-// filesWithoutDecisions are the files that need not be listed under policy: documentation, the types of the
-// interface, data structures, and the blocking wrapper. TestUnlistedFilesDecideNothing checks what they may hold.
+// filesWithoutDecisions are the files that are not listed under policy: documentation, the types of the interface,
+// data structures, and the Engine wrapper. TestUnlistedFilesDecideNothing restricts their contents.
 var filesWithoutDecisions = []string{
 	"doc.go", "settings.go", "events.go", "actions.go", "overloadcontrol.go",
 	"engine.go", "window.go", "callstate.go", "serverstate.go",
@@ -57,18 +57,18 @@
 	return slices.DeleteFunc(all, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
 }
 
-// The files under policy hold at most 890 lines that are not blank in all, of 110 columns each.
+// The files listed under policy have at most 890 non-blank lines in total, of at most 110 columns each.
 func TestModuleSize(t *testing.T) {
 	total := 0
 	for _, file := range policyFiles(t) {
 		total += countLines(t, file)
 	}
 	if total > maxPolicyLines {
-		t.Errorf("%d lines that are not blank under policy, %d at most", total, maxPolicyLines)
+		t.Errorf("the files listed under policy have %d non-blank lines, want at most %d", total, maxPolicyLines)
 	}
 }
 
-// countLines returns the number of non-blank lines of a file and reports those that are too long.
+// countLines returns the number of non-blank lines of a file and reports lines that are too long.
 func countLines(t *testing.T, file string) int {
 	t.Helper()
 	f, err := os.Open(file)
@@ -83,7 +83,7 @@
 			count++
 		}
 		if len(text) > maxPolicyColumns {
-			t.Errorf("%s: a line of %d columns: %s", file, len(text), text)
+			t.Errorf("%s: line of %d columns: %s", file, len(text), text)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -92,13 +92,13 @@
 	return count
 }
 
-// Each file of the package is listed under policy unless it is known to hold no decisions, and never both.
+// Each file of the package is either listed under policy or known to contain no decisions.
 func TestPolicyListsEachFile(t *testing.T) {
 	listed := policyFiles(t)
 	for _, file := range sourceFiles(t) {
 		isListed, isExempt := slices.Contains(listed, file), slices.Contains(filesWithoutDecisions, file)
 		if isListed == isExempt {
-			t.Errorf("%s: listed under policy %v, without decisions %v: want one of them", file, isListed, isExempt)
+			t.Errorf("%s: listed under policy: %v, known to contain no decisions: %v; want exactly one", file, isListed, isExempt)
 		}
 	}
 	if unique := slices.Compact(slices.Sorted(slices.Values(listed))); len(unique) != len(listed) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// A file that is not listed under policy has no function that reads or changes a StateMachine, or that draws at
-// random. The wrapper engine.go may call its interface, but none of its functions is a method of it.
+// Files that are not listed under policy do not access a StateMachine and do not use random numbers. The exception
+// is engine.go, which may call a StateMachine but must not declare methods of it.
 func TestUnlistedFilesDecideNothing(t *testing.T) {
 	for _, file := range filesWithoutDecisions {
 		tree, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
@@ -134,7 +134,7 @@
 	}
 }
 
-// receiverType returns the name of the type of which a function is a method, "" if it is none.
+// receiverType returns the name of a method's receiver type, "" for a function without a receiver.
 func receiverType(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
--- a/internal/admission/priority_test.go
+++ b/internal/admission/priority_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Interrupted calls are offered again all at once. A server receives no more of them than it can answer in time.
+// When interrupted calls are offered again all at once, a server receives only as many as it can answer in time.
 func TestBurstIsHeldBack(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
@@ -21,7 +21,7 @@
 		}
 	}
 	if sent < 5 || sent > 14 {
-		t.Errorf("%d calls sent at once to a server that answers 10 a second, want 5 to 14", sent)
+		t.Errorf("%d calls were sent at once to a server that answers 10 per second, want 5 to 14", sent)
 	}
 }
 
@@ -32,21 +32,21 @@
 	}
 	tc.endAttempt("1", place("1"), ResultServerError, CauseDestinationBusy)
 	if !hasAction[FailCall](tc.actions) {
-		t.Errorf("a busy destination did not fail the call: %v", tc.actions)
+		t.Errorf("a call to a busy destination did not fail: %v", tc.actions)
 	}
 	if place("2") != "" {
 		t.Error("a call to a busy destination was sent")
 	}
 	tc.advance(tc.machine.window)
 	if place("3") == "" {
-		t.Error("a window later no call probes the destination")
+		t.Error("no call probed the destination a window later")
 	}
 	if place("4") != "" {
-		t.Error("two calls went to a busy destination in a window")
+		t.Error("two calls probed a busy destination within one window")
 	}
 }
 
-// A redialed call without a mark is recognized by its number.
+// A redialed call that is not marked as such is recognized by its number, and is throttled before new calls.
 func TestRedialIsHeldBackFirst(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 50*millisecond)
@@ -57,30 +57,30 @@
 	if got := tc.offerCall(CallOffered{
 		CallID: "x2", Class: "read", Number: "n", Deadline: tc.now + time.Second,
 	}); got != "" {
-		t.Error("a redialed call took the room of new ones")
+		t.Error("a redialed call was sent while capacity was reserved for new calls")
 	}
 	if _, got := tc.offer("read", 0); got == "" {
-		t.Error("a new call found no room")
+		t.Error("a new call was not sent")
 	}
 }
 
-// A caller who was rejected and redials within the latency objective keeps the priority.
+// The call of a rejected caller who redials within the latency objective keeps its priority.
 func TestEarlyRedialKeepsPriority(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	c := &call{number: "n", class: tc.machine.classes["read"]}
 	if tc.machine.isRedial(c, false) {
-		t.Error("a first call counts as redialed")
+		t.Error("the first call to a number counts as redialed")
 	}
 	tc.advance(700 * millisecond)
 	if tc.machine.isRedial(c, true) {
-		t.Error("a call redialed within the latency objective counts as late")
+		t.Error("a call repeated within the latency objective counts as redialed")
 	}
 	if !tc.machine.isRedial(c, false) {
-		t.Error("a third call to a number counts as the first caller's")
+		t.Error("the third call to a number does not count as redialed")
 	}
 }
 
-// An emergency call is sent where a normal call is held back.
+// Emergency calls are sent where normal calls are throttled.
 func TestEmergencyPriority(t *testing.T) {
 	settings := testSettings()
 	for _, isEmergency := range []bool{false, true} {
@@ -91,7 +91,7 @@
 		now := Time(time.Hour)
 		engine.UpdateServers(now, []Server{{ID: "a", Pool: 0}}, true)
 		sent := 0
-		for i := range 20 { // a burst: normal calls are held to the server's proven burst
+		for i := range 20 { // a burst, in which normal calls are limited to the server's proven burst
 			decision := engine.Place(now, Request{
 				CallID: string(rune('a' + i)), Class: settings.Classes[0].Name,
 				Deadline: now + time.Second, Emergency: isEmergency,
@@ -99,7 +99,7 @@
 			if decision.Kind == DecisionSend {
 				sent++
 			}
-			// Not as quick as the first: the burst does not grow, and the tokens run out.
+			// Later answers are slower than the first one, so the burst does not grow and the tokens run out.
 			elapsed := min(time.Duration(1+99*i), 100) * time.Millisecond
 			engine.Report(now, AttemptReport{
 				CallID: string(rune('a' + i)), Server: "a", Kind: ReportEstablished, Elapsed: elapsed,
@@ -111,7 +111,7 @@
 	}
 }
 
-// An emergency call is not rejected because its destination was busy recently, as a normal call is.
+// Unlike a normal call, an emergency call is not rejected because its destination was busy recently.
 func TestEmergencyToBusyDestination(t *testing.T) {
 	now := Time(time.Hour)
 	settings := testSettings()
@@ -143,41 +143,41 @@
 		}
 	}
 	if rejectedCall == "" {
-		t.Fatal("no call was rejected for its busy destination")
+		t.Fatal("no call was rejected because of its busy destination")
 	}
 	if decision := place("emergency", true); decision.Kind != DecisionSend {
 		t.Errorf("an emergency call to the same number: %+v", decision)
 	}
 }
 
-// Where all servers are overloaded, a controller of many servers and few calls at each does not wait until each
-// of them looks slow to it: its unanswered attempts are bounded by the answers of all servers together. (When
-// each of a hundred controllers sent every server calls that were too many in all, 330 calls a second were
-// established where 450 had been, for 12 s after a burst of 4.)
+// If all servers are overloaded, a controller with few calls at each of many servers does not wait until each one
+// appears slow: its unanswered attempts are bounded by the answer rate of all servers together. Without that bound,
+// a hundred controllers jointly overloaded every server, and for 12 s after a burst of 4 only 330 instead of 450
+// calls per second were established.
 func TestManyServersOverloaded(t *testing.T) {
 	tc := newControllerOfManyServers(t)
 	sent := 0
-	for i := range 24 { // a call for each in 2.4 s, and no server answers any more
+	for i := range 24 { // one call per server within 2.4 s, none of which is answered
 		if _, server := tc.offer("read", i); server != "" {
 			sent++
 		}
 		tc.advance(100 * millisecond)
 	}
 	if maxSent := burstSize + 1 + int(4*tc.machine.latencyThreshold.Seconds()+1); sent > maxSent || sent < 2 {
-		t.Errorf("%d calls were sent while none was answered, at 4/s answered before: want 2 to %d", sent, maxSent)
+		t.Errorf("%d calls were sent while none was answered, after 4 answers per second: want 2 to %d", sent, maxSent)
 	}
 	if id, server := tc.offer("read", 3); server != "" || !tc.isForgotten(id) {
-		t.Errorf("a further call went to %q, or was not rejected at once", server)
+		t.Errorf("a further call went to %q or was not rejected immediately", server)
 	}
 	if server := tc.offerCall(CallOffered{
 		CallID: "interrupted", Class: "read", Number: "7", PreferredPool: 3,
 		Deadline: tc.now + 3*time.Second, Reestablish: true,
 	}); server == "" {
-		t.Error("an interrupted call that is established again was held back")
+		t.Error("a reestablished call was throttled")
 	}
 }
 
-// Servers that answer quickly receive all calls, however many are unanswered at once.
+// Servers that answer quickly receive all calls, regardless of the number of unanswered attempts.
 func TestManyServersQuickRise(t *testing.T) {
 	tc := newControllerOfManyServers(t)
 	type sentCall struct {
@@ -186,7 +186,7 @@
 	}
 	var unanswered []sentCall
 	rejected := 0
-	for i := range 240 { // twenty calls a second where there were four
+	for i := range 240 { // 20 calls per second after 4 per second
 		if id, s := tc.offer("read", i%24); s != "" {
 			unanswered = append(unanswered, sentCall{id, s, tc.now + 120*millisecond})
 		} else {
@@ -203,7 +203,7 @@
 	}
 }
 
-// A call without a number never counts as redialed and leaves no record of a number.
+// A call without a number never counts as redialed and is not recorded in the tables of numbers.
 func TestCallWithoutNumber(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	for i := range 5 {
@@ -215,6 +215,6 @@
 		tc.advance(tc.machine.period)
 	}
 	if n := len(tc.machine.dialedNumbers) + len(tc.machine.busyNumbers); n != 0 {
-		t.Errorf("%d records of a number that no call had", n)
+		t.Errorf("%d numbers are recorded, want 0", n)
 	}
 }
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// randomEvents draws unusual but legal sequences of events and checks each action against the rules.
+// randomEvents generates random sequences of unusual but legal events and checks each action against the invariants.
 type randomEvents struct {
 	*testController
 	rng         *rand.Rand
@@ -19,7 +19,7 @@
 	open        map[string]SendAttempt
 	attempts    map[string]int
 	established map[string]bool
-	guardEnds   map[string]Time // end of the retry guard
+	guardEnds   map[string]Time // end of the retry guard by call
 	closed      map[string]bool
 	trace       []Action
 }
@@ -30,10 +30,10 @@
 		switch x := act.(type) {
 		case SendAttempt:
 			if s.decided[x.CallID] {
-				s.t.Fatalf("%v: sent after the end", x)
+				s.t.Fatalf("%v: sent after the final answer", x)
 			}
 			if _, ok := s.open[x.CallID]; ok {
-				s.t.Fatalf("%v: two attempts out", x)
+				s.t.Fatalf("%v: two attempts are open", x)
 			}
 			if s.now < s.guardEnds[x.CallID] {
 				s.t.Fatalf("%v: sent within the retry guard", x)
@@ -92,7 +92,7 @@
 	}
 }
 
-// answer establishes the call of an attempt, or ends the attempt.
+// answer either establishes the call of an open attempt or ends the attempt.
 func (s *randomEvents) answer(id string) {
 	x := s.open[id]
 	if !s.established[id] && !s.decided[id] && s.rng.IntN(2) == 0 {
@@ -118,7 +118,7 @@
 	s.check(s.handle(e))
 }
 
-// endAll ends all attempts, those that the retry guard delays included.
+// endAll ends all attempts, including those that the retry guard delays.
 func (s *randomEvents) endAll() {
 	for s.check(s.advance(10 * time.Second)); len(s.open) > 0; s.check(s.advance(10 * time.Second)) {
 		for _, id := range slices.Sorted(maps.Keys(s.open)) {
@@ -153,7 +153,7 @@
 		calls := len(s.machine.calls.byID) + len(s.machine.calls.byTimer)
 		numbers := len(s.machine.dialedNumbers) + len(s.machine.busyNumbers)
 		if n := calls + numbers + s.machine.unansweredAttempts; n != 0 {
-			t.Errorf("seed %d: %d records and unanswered attempts are left after all calls ended", seed, n)
+			t.Errorf("seed %d: %d records and unanswered attempts remain after all calls have ended", seed, n)
 		}
 		for _, srv := range s.machine.servers {
 			if len(srv.attempts.pending)+len(srv.attempts.lost) != 0 {
@@ -173,6 +173,6 @@
 		return s.trace
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("equal events led to different actions")
+		t.Error("the same events led to different actions")
 	}
 }
--- a/internal/admission/ratelimit_test.go
+++ b/internal/admission/ratelimit_test.go
@@ -25,12 +25,12 @@
 		writes++
 	}
 	if reads > burstSize || writes != 1 {
-		t.Errorf("under the rate limit %d reads and %d writes were sent, want at most %d and 1",
+		t.Errorf("%d reads and %d writes were sent under a rate limit, want at most %d and 1",
 			reads, writes, burstSize)
 	}
 }
 
-// An idle server that rejects a few calls at random must not be abandoned by all controllers.
+// An idle server that rejects a few calls at random must not lose the calls of all controllers.
 func TestBusyServerThatAnswersQuickly(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
@@ -57,7 +57,7 @@
 	}
 }
 
-// A rate limit that expires while calls are held back would admit the overload again.
+// A rate limit must not expire while it throttles calls, because the overload would return.
 func TestRateLimitStaysWhileUsedUp(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(200*millisecond, 4*time.Second, 50*millisecond)
@@ -66,11 +66,11 @@
 	tc.advance(tc.machine.window - 500*millisecond)
 	tc.offerSteadily(10*millisecond, time.Second, 50*millisecond)
 	if rate := tc.machine.servers[0].limit.rate; math.IsInf(rate, 1) {
-		t.Error("the rate limit expired though it held calls back")
+		t.Error("the rate limit expired while it throttled calls")
 	}
 }
 
-// After a pause, a controller must not send the calls of a whole window at once.
+// After a pause, a controller must not send a full window of calls at once.
 func TestRateLimitBoundsBursts(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 50*millisecond)
@@ -95,17 +95,17 @@
 	id, s := tc.offer("read", 0)
 	tc.establish(id, s, 900*millisecond)
 	if math.IsInf(tc.machine.servers[0].limit.rate, 1) {
-		t.Error("a call that was established late set no rate limit")
+		t.Error("a call that was established late did not set a rate limit")
 	}
 }
 
-// Probes must not keep a small server slow that has become slow.
+// Probes must not keep a small server overloaded.
 func TestProbeRateFollowsPoolPeak(t *testing.T) {
 	rateLimitAfter := func(interval time.Duration) float64 {
 		tc := newTestController(t, testSettings(), serverA)
 		tc.offerSteadily(interval, 8*time.Second, 30*millisecond)
 		s := tc.machine.servers[0]
-		for range 60 { // the server does not answer any more
+		for range 60 { // the server no longer answers
 			tc.offer("write", 0)
 			tc.advance(100 * millisecond)
 		}
@@ -113,10 +113,10 @@
 	}
 	minProbeRate := 1 / 0.5 / 4.0
 	if small := rateLimitAfter(1500 * millisecond); small > minProbeRate/2 {
-		t.Errorf("a small server still gets %.2f calls a second of %.2f", small, minProbeRate)
+		t.Errorf("the rate limit of a small server is %.2f calls per second, want at most half of %.2f", small, minProbeRate)
 	}
 	if large := rateLimitAfter(20 * millisecond); large < minProbeRate {
-		t.Errorf("a large server gets %.2f calls a second of %.2f", large, minProbeRate)
+		t.Errorf("the rate limit of a large server is %.2f calls per second, want at least %.2f", large, minProbeRate)
 	}
 }
 
@@ -133,7 +133,7 @@
 		}
 	}
 	if sent > 120 {
-		t.Errorf("%d of 200 controllers sent a call within a window to a server where theirs had just timed out",
+		t.Errorf("%d of 200 controllers sent a call to a server within a window after an attempt there had timed out",
 			sent)
 	}
 }
@@ -154,12 +154,12 @@
 		return s.limit.rate / before
 	}
 	if without, with := growth(false), growth(true); without > 1.3 || with < 1.5 {
-		t.Errorf("in 3 s a rate limit grew to %.2f of its value without evidence of health, to %.2f with it",
+		t.Errorf("within 3 s a rate limit grew by a factor of %.2f without evidence of health, and of %.2f with it",
 			without, with)
 	}
 }
 
-// A controller of many calls must not be held to a few a period if no server is overloaded.
+// A controller with many calls must not be limited to a few per period if no server is overloaded.
 func TestManyCallsWithoutRateLimit(t *testing.T) {
 	settings := testSettings()
 	settings.ControllerCount = 1
@@ -181,17 +181,17 @@
 	s := tc.machine.findServer("a")
 	s.limit.rate, s.limit.overloadedAt = 35, tc.now
 	if sent := tc.offerSteadily(20*millisecond, 2*time.Second, 40*millisecond); sent < 55 {
-		t.Errorf("%d calls in 2 s under a rate limit of 35 a second", sent)
+		t.Errorf("%d calls were sent in 2 s under a rate limit of 35 per second", sent)
 	}
 }
 
-// A controller of many calls must not be held for seconds to the few calls a period that suit one of few
-// calls, while each answer comes at once.
+// A controller with many calls must not be limited for seconds to the few calls per period that suit a controller
+// with few calls, as long as each call is answered immediately.
 func TestProvenBurst(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	offered, sent := 0, 0
 	for end := tc.now + time.Second; tc.now < end; tc.advance(5 * millisecond) {
-		for range 2 { // 400 a second
+		for range 2 { // 400 calls per second
 			offered++
 			if id, s := tc.offer("read", 0); s != "" {
 				sent++
@@ -201,11 +201,11 @@
 		}
 	}
 	if sent < offered*3/4 {
-		t.Errorf("in its first second a controller sent %d of %d calls to a server that answers at once", sent, offered)
+		t.Errorf("in its first second a controller sent %d of %d calls to a server that answers immediately", sent, offered)
 	}
 }
 
-// Answers that take longer than the quickest show a queue, and do not widen the burst.
+// Answers that are slower than the quickest one indicate a queue, and do not increase the burst.
 func TestQueueingServerHasNoProvenBurst(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	id, s := tc.offer("read", 0)
@@ -221,8 +221,8 @@
 	}
 }
 
-// Where calls are few, a single quick answer does not end a rate limit early: of hundreds of controllers each
-// would return to its full rate a moment after the other. A load report of the server does end it.
+// If calls are rare, a single quick answer does not end a rate limit early, because hundreds of controllers would
+// return to their full rates one shortly after the other. A load report of the server does end it.
 func TestSingleQuickAnswerKeepsRateLimit(t *testing.T) {
 	for _, c := range []struct {
 		answers    int
@@ -241,14 +241,14 @@
 			s.limit.tokens = burstSize
 		}
 		if hasExpired := math.IsInf(s.limit.rate, 1); hasExpired != (c.isReported || c.answers >= minSamples) {
-			t.Errorf("%+v: within %v the rate limit has expired: %v", c, 2*tc.machine.window, hasExpired)
+			t.Errorf("%+v: rate limit expired within %v: %v", c, 2*tc.machine.window, hasExpired)
 		}
 	}
 }
 
-// If a window admits a whole number of attempts and a fraction, that fraction of the controllers sends one more.
-// (When all rounded it down, a fleet of 300 that could send 2.2 in each window sent 2, and exchanges were busy
-// 91% of the time instead of 97%.)
+// If a window admits a number of attempts that is not whole, the fraction is rounded up by that share of the
+// controllers. When all of them rounded down, each of 300 controllers that could send 2.2 attempts per window sent 2,
+// and exchanges were busy 91% of the time instead of 97%.
 func TestRateLimitRoundingOfManyControllers(t *testing.T) {
 	const controllers, perWindow = 400, 2.4
 	sent := 0
@@ -266,7 +266,7 @@
 		s := machine.servers[0]
 		machine.recordOverload(s, machine.latencyThreshold*3/2)
 		s.limit.rate = perWindow / highShare / machine.span(s)
-		for range 6 { // at once and of high priority: only the window holds them back
+		for range 6 { // all at once and of high priority, so that only the window limits them
 			s.limit.tokens = burstSize
 			if _, to := tc.offer("write", 0); to != "" {
 				sent++
@@ -275,6 +275,6 @@
 		}
 	}
 	if mean := float64(sent) / controllers; mean < perWindow-0.15 || mean > perWindow+0.15 {
-		t.Errorf("%.2f attempts a controller in a window that admits %.1f", mean, perWindow)
+		t.Errorf("%.2f attempts per controller in a window that admits %.1f", mean, perWindow)
 	}
 }
