--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -89,7 +89,7 @@
 	CauseReturned                            // the server returned the call
 	CauseProcessorBusy                       // with ResultServerBusy: the server is overloaded
 	CauseDestinationBusy                     // with ResultServerError: all lines of the called number are busy
-	CauseConnectionUnresponsive              // with ResultConnectionLost: the connection was open but no longer responded
+	CauseConnectionUnresponsive              // with ResultConnectionLost: the open connection stopped responding
 )
 
 // AttemptEnded reports the end of an attempt. The host sends exactly one for each SendAttempt.
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -98,7 +98,7 @@
 	for _, file := range sourceFiles(t) {
 		isListed, isExempt := slices.Contains(listed, file), slices.Contains(filesWithoutDecisions, file)
 		if isListed == isExempt {
-			t.Errorf("%s: listed under policy: %v, known to contain no decisions: %v; want exactly one", file, isListed, isExempt)
+			t.Errorf("%s: listed under policy: %v, without decisions: %v; want exactly one", file, isListed, isExempt)
 		}
 	}
 	if unique := slices.Compact(slices.Sorted(slices.Values(listed))); len(unique) != len(listed) {
--- a/internal/admission/repeatability_test.go
+++ b/internal/admission/repeatability_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// After an attempt that may have run, a NonRepeatable call goes nowhere and is not rejected. A Deduplicated one goes
-// to servers that recognize the repeat, within its window, and is rejected only if all servers recognize it.
+// After an attempt that may have run, a NonRepeatable call is neither retried nor rejected. A Deduplicated call is
+// retried within its window at servers that recognize the repeat, and rejected only if all servers recognize it.
 func TestCallsThatMayNotRunTwice(t *testing.T) {
 	servers := []Server{{ID: "a", Pool: 0, Zone: "n"}, {ID: "b", Pool: 1, Zone: "n"}, {ID: "c", Pool: 2, Zone: "s"}}
 	cases := []struct {
-		what  string
-		class Class
-		code  AttemptResult
-		after time.Duration
-		may   string // servers of the second attempt, or "fail" or "reject" instead
+		what      string
+		class     Class
+		result    AttemptResult
+		after     time.Duration // from the first attempt to its result
+		permitted string        // servers that may receive the second attempt, or "fail" or "reject" if there is none
 	}{
 		{"idempotent", Class{}, ResultTimedOut, 0, "bc"},
 		{"non-repeatable, never ran", Class{Repeatability: NonRepeatable}, ResultServerBusy, 0, "bc"},
@@ -71,7 +71,7 @@
 			run := func(e Event) { acts = append(acts, machine.Handle(now, e)...) }
 			machine.Begin(now)
 			run(ServersUpdated{Full: true, Cached: true, Servers: servers})
-			// Time for the other servers to gain tokens of their ramps.
+			// The ramps of the other servers gain tokens in this time.
 			for range 30 {
 				now += 100 * time.Millisecond
 				run(TimerFired{Key: 0})
@@ -79,14 +79,14 @@
 			acts = nil
 			run(CallOffered{CallID: "x", Class: "k", PreferredPool: 0, Deadline: now + 15*time.Second})
 			if s, ok := acts[0].(SendAttempt); !ok || s.Server != "a" {
-				t.Fatalf("%s: first %+v", tc.what, acts)
+				t.Fatalf("%s: the first attempt was not sent to a: %+v", tc.what, acts)
 			}
 			for end := now + tc.after; now < end; {
 				now += 100 * time.Millisecond
 				run(TimerFired{Key: 0})
 			}
 			acts = nil
-			run(AttemptEnded{CallID: "x", Server: "a", Result: tc.code})
+			run(AttemptEnded{CallID: "x", Server: "a", Result: tc.result})
 			now += 400 * time.Millisecond
 			for _, a := range acts {
 				if d, ok := a.(SetTimer); ok && d.Key > 0 {
@@ -107,26 +107,26 @@
 			seen[what] = true
 		}
 		want := make(map[string]bool)
-		if tc.may == "fail" || tc.may == "reject" {
-			want[tc.may] = true
+		if tc.permitted == "fail" || tc.permitted == "reject" {
+			want[tc.permitted] = true
 		} else {
-			for _, s := range tc.may {
+			for _, s := range tc.permitted {
 				want[string(s)] = true
 			}
 		}
 		for what := range seen {
 			if !want[what] {
-				t.Errorf("%s: %v, want of %v only", tc.what, seen, want)
+				t.Errorf("%s: got %v, want only %v", tc.what, seen, want)
 				break
 			}
 		}
-		if len(seen) == 0 || tc.may != "fail" && tc.may != "reject" && fmt.Sprint(seen) == "map[]" {
-			t.Errorf("%s: nothing seen", tc.what)
+		if len(seen) == 0 || tc.permitted != "fail" && tc.permitted != "reject" && fmt.Sprint(seen) == "map[]" {
+			t.Errorf("%s: no outcome", tc.what)
 		}
 	}
 }
 
-// A lost attempt of a NonRepeatable call is not canceled: only its own answer can still establish the call.
+// A lost attempt of a NonRepeatable call is not canceled, because only its answer can still establish the call.
 func TestNonRepeatableIsNotCanceled(t *testing.T) {
 	for _, repeatability := range []Repeatability{Idempotent, NonRepeatable} {
 		machine, err := NewStateMachine(Settings{
@@ -153,7 +153,7 @@
 		now += 200 * time.Millisecond
 		run(CallOffered{CallID: "next", Class: "k", Deadline: now + 8*time.Second})
 		now += 20 * time.Millisecond
-		run(CallEstablished{CallID: "next", Server: "a", SetupTime: 20 * time.Millisecond}) // it overtakes the other
+		run(CallEstablished{CallID: "next", Server: "a", SetupTime: 20 * time.Millisecond}) // overtakes the first call
 		for range 30 {
 			now += 100 * time.Millisecond
 			run(TimerFired{Key: 0})
--- a/internal/admission/responsiveness_test.go
+++ b/internal/admission/responsiveness_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Lost attempts must not keep a server from all calls until they time out: a probe finds out, whatever the rate
-// limit, and the limit is restored.
+// Lost attempts must not block a server until they time out: a probe is sent regardless of the rate limit, and its
+// answer restores the limit.
 func TestProbeFindsLostAttempts(t *testing.T) {
 	for lost := 1; lost <= 2; lost++ {
 		tc := newTestController(t, testSettings(), serverA)
 		tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
 		s := tc.machine.servers[0]
-		for range lost { // they are never answered
+		for range lost { // none of them is answered
 			if _, server := tc.offer("write", 0); server != "a" {
 				t.Fatal("a server that answers steadily received no attempt")
 			}
@@ -28,7 +28,7 @@
 			t.Fatalf("%d lost: no probe was sent", lost)
 		}
 		if _, server := tc.offer("read", 0); server != "" {
-			t.Errorf("%d lost: two probes at once", lost)
+			t.Errorf("%d lost: two probes were sent at once", lost)
 		}
 		tc.advance(30 * millisecond)
 		tc.establish(id, server, 30*millisecond)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Late answers to attempts sent with a lost one say nothing about it; a timely one to a later attempt does. A
-// rejection for overload confirms the suspicion.
+// A late answer to an attempt that was sent shortly after a lost one does not clear the suspicion; a timely answer to
+// a later attempt does. A rejection for overload confirms the suspicion.
 func TestLostAttemptKeepsSuspicionOpen(t *testing.T) {
 	for _, isRejected := range []bool{false, true} {
 		tc := newTestController(t, testSettings(), serverA)
@@ -67,13 +67,13 @@
 		}
 		tc.establish(ids[2], "a", 400*millisecond)
 		if isCleared := math.IsInf(s.limit.rate, 1); isCleared == isRejected {
-			t.Errorf("rejected for overload %v: suspicion cleared %v", isRejected, isCleared)
+			t.Errorf("rejected for overload: %v, suspicion cleared: %v", isRejected, isCleared)
 		}
 	}
 }
 
-// A silent server's rate limit is restored when its connection turns out to have failed, and its calls may be
-// sent there again after the retry guard.
+// When the connection of a silent server turns out to have failed, its rate limit is restored, and its calls may be
+// retried there after the retry guard.
 func TestDeadConnectionClearsSuspicion(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
@@ -97,17 +97,17 @@
 		t.Errorf("rate limit %v after the connection failed", s.limit.rate)
 	}
 	if acts := tc.advance(255 * millisecond); sentServer(acts) != "a" {
-		t.Errorf("not sent again: %v", acts)
+		t.Errorf("the call was not retried at the server: %v", acts)
 	}
 }
 
-// An attempt that was overtaken is lost: it must not look like a slow answer, and is canceled and repeated.
+// An overtaken attempt counts as lost: it is no evidence of a slow server, and is canceled and retried.
 func TestLostAttempt(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	lost, s := tc.offer("read", 0)
 	tc.advance(300 * millisecond)
 	if n := tc.offerSteadily(100*millisecond, 400*millisecond, 40*millisecond); n != 4 {
-		t.Errorf("%d of 4 calls were established beside a lost one", n)
+		t.Errorf("%d of 4 calls were established after a lost one", n)
 	}
 	tc.offer("read", 0)
 	if !math.IsInf(tc.machine.servers[0].limit.rate, 1) {
@@ -118,22 +118,22 @@
 	}
 	tc.endAttempt(lost, s, ResultCanceled, CauseNone)
 	if acts := tc.advance(260 * millisecond); sentServer(acts) != "a" {
-		t.Errorf("a lost attempt was not repeated: %v", acts)
+		t.Errorf("a lost attempt was not retried: %v", acts)
 	}
 }
 
-// A controller of few calls finds out too whether a single attempt was lost.
+// A controller with few calls also detects that a single attempt was lost.
 func TestSingleLostAttemptDoesNotBlock(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
 	tc.offer("read", 0)
 	tc.advance(700 * millisecond)
 	if _, s := tc.offer("read", 0); s != "a" {
-		t.Error("one unanswered attempt at a server that was quick holds all calls back")
+		t.Error("one unanswered attempt blocks a server that has answered quickly")
 	}
 }
 
-// Answers that waited for a stalled controller are no evidence of overload.
+// Answers that are delayed by a stall of the controller are no evidence of overload.
 func TestControllerStall(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
@@ -147,7 +147,7 @@
 	}
 }
 
-// A server that answers no attempt receives no more calls, and its open calls are moved.
+// A server that answers no attempts receives no new calls, and its open calls are moved to another server.
 func TestUnresponsiveServer(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 50*millisecond)
@@ -170,13 +170,13 @@
 	tc.endAttempt(id, s, ResultCanceled, CauseNone)
 	tc.machine.servers[1].ramp.tokens = 1
 	if acts := tc.advance(300 * millisecond); sentServer(acts) != "b" {
-		t.Errorf("the call was not moved: %v", acts)
+		t.Errorf("the call was not moved to another server: %v", acts)
 	}
 }
 
 func TestCancellationCountsAsTimeout(t *testing.T) {
 	tc := newTestControllers(t, 100, serverA, serverB)[0]
-	for range 20 { // both answer quickly, one call in two seconds each
+	for range 20 { // both servers answer quickly, each one call every two seconds
 		for pool, name := range []string{"a", "b"} {
 			id, _ := tc.offer("read", pool)
 			tc.establish(id, name, 50*millisecond)
@@ -197,8 +197,8 @@
 	}
 }
 
-// Where answers are quick, an overtaken attempt counts as lost long before a period has passed, and does not
-// limit its server.
+// If answers are quick, an overtaken attempt counts as lost well before a period has passed, and does not limit its
+// server.
 func TestLostAttemptLimitsNoQuickServer(t *testing.T) {
 	settings := testSettings()
 	settings.ResendInterval = 120 * millisecond
@@ -223,8 +223,8 @@
 	}
 }
 
-// A single pending attempt is canceled while other servers answer quickly, as its own may be unresponsive. It is
-// kept where they are late: there it would only add its work at the next server to that begun at the first.
+// A single pending attempt is canceled while other servers answer quickly, because its server may be unresponsive. It
+// is kept while they answer late, because a retry would only add work at another overloaded server.
 func TestSingleAttemptIsKeptInOverload(t *testing.T) {
 	for _, c := range []struct {
 		took time.Duration
@@ -243,7 +243,7 @@
 			t.Fatalf("answers after %v: the call went to %q", c.took, s)
 		}
 		isCanceled := false
-		for i := range 8 { // another server answers quickly all the while, and a third as before
+		for i := range 8 { // one server answers quickly throughout, a third one after c.took
 			other, otherServer := tc.offer("write", 12+i%4)
 			third, thirdServer := tc.offer("write", 16+i%4)
 			for _, a := range tc.advance(150 * millisecond) {
@@ -258,7 +258,7 @@
 			}
 		}
 		if isCanceled != c.want {
-			t.Errorf("answers after %v: canceled %v, want %v", c.took, isCanceled, c.want)
+			t.Errorf("answers after %v: attempt canceled: %v, want %v", c.took, isCanceled, c.want)
 		}
 	}
 }
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A call whose attempt may still be running is sent again after the retry guard only.
+// A call whose attempt may still be running is retried only after the retry guard.
 func TestRetryGuard(t *testing.T) {
 	for _, result := range []AttemptResult{ResultTimedOut, ResultConnectionLost, ResultCanceled} {
 		tc := newTestController(t, testSettings(), serverA, serverB)
 		id, s := tc.offer("write", 0)
 		tc.advance(100 * millisecond)
 		if acts := tc.endAttempt(id, s, result, CauseNone); hasAction[SendAttempt](acts) {
-			t.Errorf("result %v: sent again at once", result)
+			t.Errorf("result %v: retried immediately", result)
 		}
 		if acts := tc.advance(245 * millisecond); hasAction[SendAttempt](acts) {
-			t.Errorf("result %v: sent again within the guard", result)
+			t.Errorf("result %v: retried within the retry guard", result)
 		}
 		if acts := tc.advance(10 * millisecond); sentServer(acts) != "b" {
-			t.Errorf("result %v: not sent again after the guard: %v", result, acts)
+			t.Errorf("result %v: not retried after the retry guard: %v", result, acts)
 		}
 	}
 }
@@ -27,7 +27,7 @@
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	id, s := tc.offer("read", 0)
 	if acts := tc.endAttempt(id, s, ResultServerError, CauseNone); sentServer(acts) != "b" {
-		t.Errorf("a call that met a server error was not sent elsewhere: %v", acts)
+		t.Errorf("a call was not retried at another server after a server error: %v", acts)
 	}
 }
 
@@ -38,7 +38,7 @@
 	id, s := tc.offer("write", 0)
 	acts := tc.endAttempt(id, s, ResultDialFailed, CauseNone)
 	if hasAction[SendAttempt](acts) || !hasAction[FailCall](acts) {
-		t.Errorf("with one attempt allowed: %v", acts)
+		t.Errorf("got %v, want the call to fail after its only attempt", acts)
 	}
 }
 
@@ -48,12 +48,12 @@
 	tc.machine.servers[0].backoffUntil = tc.now + 2*time.Second
 	tc.offer("read", 0)
 	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter != 2*time.Second {
-		t.Errorf("got %+v, want a rejection with 2 s", tc.actions)
+		t.Errorf("got %+v, want a rejection with a retry-after time of 2 s", tc.actions)
 	}
 	tc.machine.servers[0].backoffUntil = tc.now + time.Hour
 	tc.offer("read", 0)
 	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter != tc.machine.window {
-		t.Errorf("got %+v, want a rejection with a window", tc.actions)
+		t.Errorf("got %+v, want a rejection with a retry-after time of one window", tc.actions)
 	}
 	tc.offerCall(CallOffered{CallID: "odd", Class: "nobody", Deadline: tc.now + time.Second})
 	if rejection, ok := tc.actions[len(tc.actions)-1].(RejectCall); !ok || rejection.RetryAfter <= 0 {
--- a/internal/admission/selection_test.go
+++ b/internal/admission/selection_test.go
@@ -17,7 +17,7 @@
 func TestOverflowPrefersFewerPending(t *testing.T) {
 	c := Server{ID: "c", Pool: 2}
 	tc := newTestController(t, testSettings(), serverA, serverB, c)
-	tc.machine.servers[0].backoffUntil = tc.now + time.Hour // the preferred pool holds calls back
+	tc.machine.servers[0].backoffUntil = tc.now + time.Hour // the preferred pool accepts no calls
 	tc.machine.servers[1].attempts.pending = make([]*call, 3)
 	for i := range tc.machine.servers[1].attempts.pending {
 		tc.machine.servers[1].attempts.pending[i] = &call{sentAt: tc.now}
@@ -30,14 +30,14 @@
 		got[tc.machine.selectServer(nextCall).ID]++
 	}
 	if got["c"] < 130 || got["b"] == 0 || got["a"] != 0 {
-		t.Errorf("picks %v: want about three quarters at c, the rest at b", got)
+		t.Errorf("got %v, want about three quarters at c and the rest at b", got)
 	}
 }
 
 func TestRejectWithoutServers(t *testing.T) {
 	tc := newTestController(t, testSettings())
 	if _, s := tc.offer("read", 0); s != "" || !hasAction[RejectCall](tc.actions) {
-		t.Errorf("without servers: %v, want a rejection", tc.actions)
+		t.Errorf("got %v without servers, want a rejection", tc.actions)
 	}
 }
 
@@ -53,11 +53,11 @@
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	tc.handle(ServersUpdated{Full: true, Servers: []Server{serverB}})
 	if _, s := tc.offer("read", 0); s == "a" {
-		t.Error("a call went to a server that a full list lacks")
+		t.Error("a call went to a server that is missing from a full list")
 	}
 }
 
-// A call goes to its permitted pools only, in their order, and nowhere if none of them is active.
+// A call goes only to its permitted pools, in their order, and is not sent if none of them is active.
 func TestPermittedPools(t *testing.T) {
 	settings := testSettings()
 	machine, err := NewStateMachine(settings, 1)
@@ -84,15 +84,15 @@
 		return ""
 	}
 	if got := place("1", 2, 1); got != "c" {
-		t.Errorf("the preferred pool is 2, sent to %q", got)
+		t.Errorf("call with preferred pool 2 went to %q, want c", got)
 	}
 	machine.Handle(now, ServersUpdated{Servers: []Server{{ID: "c", Pool: 2, State: Draining}}})
 	if got := place("2", 2, 1); got != "b" {
-		t.Errorf("the next pool is 1, sent to %q", got)
+		t.Errorf("call with pool 1 as the next one went to %q, want b", got)
 	}
 	machine.Handle(now, ServersUpdated{Servers: []Server{{ID: "b", Pool: 1, State: Removed}}})
 	if got := place("3", 2, 1); got != "" {
-		t.Errorf("no permitted pool is active, sent to %q", got)
+		t.Errorf("call without an active permitted pool went to %q", got)
 	}
 }
 
@@ -114,17 +114,17 @@
 		case "c":
 			large++
 		default:
-			t.Fatalf("a call for a server without circuits went to %q", s)
+			t.Fatalf("a call that prefers a server without circuits went to %q", s)
 		}
 	}
 	if small > large/4 {
-		t.Errorf("overflow of 300 controllers: %d to the server with 20 calls, %d to the one with 180", small, large)
+		t.Errorf("overflow of 300 controllers: %d calls to the server with 20 calls, %d to the one with 180", small, large)
 	}
 }
 
 func TestOverflowTokensOfManyControllers(t *testing.T) {
 	sent := 0
-	for _, tc := range newTestControllers(t, 200, serverB, serverA) { // each controller sends b a call in ten seconds
+	for _, tc := range newTestControllers(t, 200, serverB, serverA) { // each sends one call per ten seconds to b
 		for range 3 {
 			id, s := tc.offer("read", 1)
 			tc.establish(id, s, 50*millisecond)
@@ -138,11 +138,11 @@
 		}
 	}
 	if sent == 0 || sent > 240 {
-		t.Errorf("200 controllers sent %d overflow calls at once to a server that they send 20 a second", sent)
+		t.Errorf("200 controllers sent %d overflow calls at once to a server that gets 20 calls per second from them", sent)
 	}
 }
 
-// The overflow of all controllers must not overload a small server.
+// The combined overflow of all controllers must not overload a small server.
 func TestOverflowRamp(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	tc.handle(ServersUpdated{Servers: []Server{{ID: "a", State: Draining}}})
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A controller that knows nothing of a starting server's pool sends it very few attempts.
+// A controller without a peak rate for the pool of a starting server sends it only a few attempts.
 func TestSlowStartRamp(t *testing.T) {
 	tc := newTestController(t, testSettings())
 	tc.handle(ServersUpdated{Servers: []Server{{ID: "n", Pool: 0, Started: tc.now - time.Second}}})
@@ -17,7 +17,7 @@
 	}
 }
 
-// A server that first appears in an update, without a start time, has just started.
+// A server that first appears in a partial update without a start time has just started.
 func TestNewServerStartsSlowly(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.handle(ServersUpdated{Servers: []Server{serverB}})
@@ -26,28 +26,28 @@
 	}
 }
 
-// A replacement receives the slow-start share of its pool's peak rate at once.
+// A replacement server immediately receives the slow-start share of its pool's peak rate.
 func TestSlowStartUsesPoolPeak(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	tc.offerSteadily(20*millisecond, 4*time.Second, 30*millisecond)
 	tc.handle(ServersUpdated{Servers: []Server{{ID: "a", State: Removed}, {ID: "n", Pool: 0, Started: tc.now}}})
 	sent := tc.offerSteadily(10*millisecond, 2*time.Second, 30*millisecond)
 	if sent < 15 || sent > 60 {
-		t.Errorf("%d attempts in 2 s to the successor of a server that answered 50 a second, want 15 to 60", sent)
+		t.Errorf("%d attempts in 2 s to the replacement of a server that answered 50 per second, want 15 to 60", sent)
 	}
 }
 
 func TestSlowStartOfManyControllers(t *testing.T) {
 	controllers := newTestControllers(t, 200, serverA)
 	sent := [3]int{}
-	for _, tc := range controllers { // each sends a call in two seconds: 100 a second in all
+	for _, tc := range controllers { // each sends one call every two seconds: 100 per second in total
 		tc.offerSteadily(2*time.Second, 40*time.Second, 40*millisecond)
 		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", Pool: 0, Started: tc.now}}})
 		for i, d := range []time.Duration{time.Second, 4 * time.Second, 5 * time.Second} {
 			sent[i] = sent[i] + tc.offerSteadily(200*millisecond, d, 40*millisecond)
 		}
 	}
-	// It starts at 40 calls a second and has its full capacity after 10 s.
+	// The server starts at 40 calls per second and reaches its full capacity after 10 s.
 	for i, want := range [][2]int{{25, 80}, {130, 480}, {250, 1000}} {
 		if sent[i] < want[0] || sent[i] > want[1] {
 			t.Errorf("span %d: 200 controllers sent %d calls to a server in slow start, want %d to %d",
@@ -56,7 +56,7 @@
 	}
 }
 
-// A restarted server with a slow-start share of 0 must receive calls again.
+// A server that restarts with a slow-start share of 0 must receive calls again.
 func TestSlowStartShareZero(t *testing.T) {
 	for _, controllers := range []int{1, 1000} {
 		settings := testSettings()
@@ -65,7 +65,7 @@
 		tc.offerSteadily(500*millisecond, 20*time.Second, 40*millisecond)
 		tc.handle(ServersUpdated{Servers: []Server{{ID: "a", Started: tc.now}}})
 		if sent := tc.offerSteadily(500*millisecond, 20*time.Second, 40*millisecond); sent < 15 {
-			t.Errorf("%d controllers: %d of 40 calls in 20 s went to a server that started with share 0", controllers, sent)
+			t.Errorf("%d controllers: %d of 40 calls in 20 s went to a server with a slow-start share of 0", controllers, sent)
 		}
 	}
 }
--- a/internal/admission/statemachine_test.go
+++ b/internal/admission/statemachine_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A call gets its final answer at its deadline though its attempt is still open.
+// A call gets its final answer at its deadline even if its attempt is still open.
 func TestFailAtDeadline(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	id, _ := tc.offer("read", 0)
@@ -26,27 +26,27 @@
 func TestFailOnTimeoutAtDeadline(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	id, _ := tc.offer("read", 0)
-	tc.now += 3 * time.Second // the result comes before the timer
+	tc.now += 3 * time.Second // the result arrives before the timer fires
 	if acts := tc.endAttempt(id, "a", ResultTimedOut, CauseNone); !hasAction[FailCall](acts) {
-		t.Errorf("an expired attempt at the deadline left the call open: %v", acts)
+		t.Errorf("the call did not fail after a timeout at its deadline: %v", acts)
 	}
 }
 
-// A flood of rejected calls leaves no timers and a bounded number of dialed numbers.
+// Many rejected calls leave no timers and a bounded number of dialed numbers.
 func TestRejectedCallsLeaveNoState(t *testing.T) {
 	tc := newTestController(t, testSettings())
 	for range 2 * maxDialedNumbers {
 		if _, to := tc.offer("read", 0); to != "" {
-			t.Fatal("sent to", to)
+			t.Fatal("call sent to", to)
 		}
 	}
 	calls := len(tc.machine.calls.byID) + len(tc.machine.calls.byTimer)
 	if n := len(tc.machine.dialedNumbers); n > maxDialedNumbers || len(tc.timers) > 1 || calls > 0 {
-		t.Errorf("%d numbers, %d timers, %d calls", n, len(tc.timers), len(tc.machine.calls.byID))
+		t.Errorf("%d dialed numbers, %d timers and %d calls remain", n, len(tc.timers), len(tc.machine.calls.byID))
 	}
 }
 
-// A controller's first call is sent before the first period has ended.
+// The first call of a controller is sent without waiting for the end of a period.
 func TestFirstCallOfController(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA)
 	if _, s := tc.offer("read", 0); s != "a" {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Where the server list must be watched on request, a failed watch is repeated, but not at once.
+// If the server list is watched on request, a failed watch is restarted, but not immediately.
 func TestFailedWatchIsRepeated(t *testing.T) {
 	settings := testSettings()
 	settings.WatchServersOnRequest = true
@@ -86,21 +86,21 @@
 		t.Fatal(err)
 	}
 	if !hasAction[WatchServers](machine.Begin(0)) {
-		t.Error("the server list was not watched at the start")
+		t.Error("no watch was requested at the start")
 	}
 	tc := newTestController(t, settings, serverA)
 	if acts := tc.handle(ServersUpdated{Failed: true}); hasAction[WatchServers](acts) {
-		t.Error("watched again at once")
+		t.Error("a failed watch was restarted immediately")
 	}
 	if !hasAction[WatchServers](tc.advance(tc.machine.window + 5*millisecond)) {
-		t.Error("not watched again after a failed watch")
+		t.Error("a failed watch was not restarted")
 	}
 	if _, s := tc.offer("read", 0); s != "a" {
 		t.Error("a failed watch emptied the server list")
 	}
 }
 
-// An error about settings says what is wrong, and names the field.
+// The error for an invalid setting describes the problem and names the field.
 func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		text, field string
@@ -121,7 +121,7 @@
 			c.invalidate(&settings)
 			_, err := NewStateMachine(settings, 1)
 			if err == nil || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("error %v does not say %q", err, c.text)
+				t.Errorf("error %v does not contain %q", err, c.text)
 			}
 			var invalid *SettingsError
 			if !errors.As(err, &invalid) || invalid.Field != c.field {
@@ -146,11 +146,11 @@
 	if acts := tc.handle(CallOffered{
 		CallID: "u", Class: "?", Deadline: tc.now + time.Second,
 	}); !hasAction[RejectCall](acts) {
-		t.Errorf("a call of an unknown class: %v", acts)
+		t.Errorf("a call of an unknown class was not rejected: %v", acts)
 	}
 }
 
-// A minute without overload passes under settings at the ends of their ranges.
+// Under settings at the limits of their ranges, calls are sent for a minute without overload.
 func TestExtremeSettings(t *testing.T) {
 	many := make([]Server, 50)
 	for i := range many {
@@ -185,14 +185,14 @@
 				tc.handle(AttemptEnded{CallID: id, Server: s, Result: ResultDelivered, Final: true})
 			}
 			if established < offered*9/10 {
-				t.Errorf("%s, %d servers: %d of %d calls were sent without overload",
+				t.Errorf("%s, %d servers: only %d of %d calls were sent without overload",
 					name, len(servers), established, offered)
 			}
 		}
 	}
 }
 
-// Numbers that are not finite, empty identifiers and a clock that goes back have no effect.
+// Non-finite numbers, empty identifiers and a clock that goes back have no effect.
 func TestInvalidEvents(t *testing.T) {
 	tc := newTestController(t, testSettings(), serverA, serverB)
 	tc.offerSteadily(100*millisecond, 4*time.Second, 40*millisecond)
@@ -201,23 +201,23 @@
 		tc.handle(LoadReported{Server: "a", OK: true, Load: LoadReport{f, f, f, f, f, f}})
 		id, s := tc.offer("read", 0)
 		if s != "a" {
-			t.Errorf("a report of %v sent a call to %q", v, s)
+			t.Errorf("after a report of %v, a call went to %q", v, s)
 		}
 		tc.establish(id, s, 40*millisecond)
 		tc.advance(tc.machine.period)
 	}
 	tc.now -= time.Hour
 	if acts := tc.handle(TimerFired{}); len(acts) != 0 {
-		t.Errorf("a clock that went back: %v", acts)
+		t.Errorf("actions after the clock went back: %v", acts)
 	}
 	tc.now += time.Hour
 	if acts := tc.handle(nil); len(acts) != 0 {
-		t.Errorf("no event: %v", acts)
+		t.Errorf("actions for a nil event: %v", acts)
 	}
 	tc.handle(CallEstablished{CallID: "", SetupTime: -time.Second})
 	tc.handle(AttemptEnded{CallID: "", Result: AttemptResult(99), Cause: FailureCause(-1), RetryAfter: -time.Hour})
 	tc.handle(ServersUpdated{Servers: []Server{{}}})
 	if _, s := tc.offer("read", 0); s != "a" {
-		t.Errorf("empty identifiers sent a call to %q", s)
+		t.Errorf("after events with empty identifiers, a call went to %q", s)
 	}
 }
--- a/internal/admission/window_test.go
+++ b/internal/admission/window_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A counter covers the current period and the full periods below its limit, also after the ring wraps round.
+// A counter covers the current period and fewer full periods than its limit, also after the ring buffer wraps.
 func TestSlidingCounter(t *testing.T) {
 	const limit = 4
 	var counter slidingCounter
@@ -21,7 +21,7 @@
 	}
 }
 
-// A shorter limit drops the oldest periods at once.
+// A shorter limit immediately drops the oldest periods.
 func TestSlidingCounterShortens(t *testing.T) {
 	var counter slidingCounter
 	for range 10 {
