--- a/internal/admission/repeatability_test.go
+++ b/internal/admission/repeatability_test.go
@@ -11,11 +11,11 @@
 func TestCallsThatMayNotRunTwice(t *testing.T) {
 	servers := []Server{{ID: "a", Pool: 0, Zone: "n"}, {ID: "b", Pool: 1, Zone: "n"}, {ID: "c", Pool: 2, Zone: "s"}}
 	cases := []struct {
-		what      string
-		class     Class
-		result    AttemptResult
-		after     time.Duration // from the first attempt to its result
-		permitted string        // servers that may receive the second attempt, or "fail" or "reject" if there is none
+		name        string
+		class       Class
+		result      AttemptResult
+		resultAfter time.Duration
+		permitted   string // servers that may receive the second attempt, or "fail" or "reject" if there is none
 	}{
 		{"idempotent", Class{}, ResultTimedOut, 0, "bc"},
 		{"non-repeatable, never ran", Class{Repeatability: NonRepeatable}, ResultServerBusy, 0, "bc"},
@@ -79,9 +79,9 @@
 			acts = nil
 			run(CallOffered{CallID: "x", Class: "k", PreferredPool: 0, Deadline: now + 15*time.Second})
 			if s, ok := acts[0].(SendAttempt); !ok || s.Server != "a" {
-				t.Fatalf("%s: the first attempt was not sent to a: %+v", tc.what, acts)
+				t.Fatalf("%s: the first attempt was not sent to a: %+v", tc.name, acts)
 			}
-			for end := now + tc.after; now < end; {
+			for end := now + tc.resultAfter; now < end; {
 				now += 100 * time.Millisecond
 				run(TimerFired{Key: 0})
 			}
@@ -116,12 +116,12 @@
 		}
 		for what := range seen {
 			if !want[what] {
-				t.Errorf("%s: got %v, want only %v", tc.what, seen, want)
+				t.Errorf("%s: got %v, want only %v", tc.name, seen, want)
 				break
 			}
 		}
 		if len(seen) == 0 || tc.permitted != "fail" && tc.permitted != "reject" && fmt.Sprint(seen) == "map[]" {
-			t.Errorf("%s: no outcome", tc.what)
+			t.Errorf("%s: no outcome", tc.name)
 		}
 	}
 }
