--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -1,53 +1,54 @@
-// Package reachability decides from the signs of life of a server whether the calls that stand there are over.
+// Package reachability is a failure detector: it decides from the activity of a server whether the calls that are
+// established there are over.
 //
-// A machine that vanishes gives no word: its connections stay open and silent, and new ones never come up. A network
-// that is partitioned for some seconds looks the same, but the calls behind it stand. What tells the two apart is time
-// alone, so it is counted from the last sign of life, and signs of life are asked for often enough that this time is
-// known. A process that hangs is no vanished machine: its connections still come up.
+// A machine that fails sends no notice: its open connections become silent, and new ones are never established. A
+// network partition of a few seconds looks the same, but the calls behind it continue. Only the duration distinguishes
+// the two, so it is measured from the last activity, and a quiet server is probed often enough for this time to be
+// accurate. A process that hangs does not count as failed, because its machine still accepts connections.
 //
-// The package is pure: it reads no clock and does no input or output. The owner of the connection (internal/backend)
-// reports what it sees and carries out what is decided here.
+// The package reads no clock and does no I/O. The owner of the connection (internal/backend) reports what it observes
+// and acts on the decisions made here.
 package reachability
 
 import "time"
 
-// A Time is a reading of the system's Unix clock: the time since the Unix epoch.
+// A Time is a reading of the system clock: the time since the Unix epoch.
 type Time = time.Duration
 
 const (
-	// ProbeAfter is the silence after which a server with established calls is probed by a new connection. The moment
-	// at which a server vanished is known to within this time and the length of a tick.
+	// ProbeAfter is the silence after which a server with established calls is probed by opening a new connection. The
+	// time at which a server failed is known to within this time plus the length of a tick.
 	ProbeAfter = 850 * time.Millisecond
-	// ProbeInterval is the time between the starts of probes while the server shows no life.
+	// ProbeInterval is the time between the starts of probes while the server shows no activity.
 	ProbeInterval = 250 * time.Millisecond
-	// MaxProbeTimeout bounds each probe, so that the next one can find a partition ended.
+	// MaxProbeTimeout bounds each probe, so that a later one can detect the end of a partition.
 	MaxProbeTimeout = 500 * time.Millisecond
-	// MaxSilence is the time since the last sign of life after which the calls count as over. Callers must know within
-	// 8 s of the end of a call that no release could be sent for; what is left is for ticks and for the messages.
+	// MaxSilence is the time since the last activity after which the calls count as over. If a call ends without a
+	// release, its caller must be notified within 8 s; the remaining time is for ticks and message delivery.
 	MaxSilence = 7600 * time.Millisecond
-	// MinOutage is the least time from the start of the first failed probe to that decision: a partition that lasts for
-	// 6 s cuts no call, also where this process itself was stopped for a while.
+	// MinOutage is the minimum time from the start of the first failed probe to that decision. It ensures that a
+	// partition of 6 s ends no call, even if this process was stopped for a while.
 	MinOutage = 6400 * time.Millisecond
-	// minFailures is how many probes must have failed by then, and maxEvidenceAge how long ago the latest of them may
-	// have been started: where this process itself stood still, it has to ask again.
+	// minFailures is the number of probes that must have failed by then, and maxEvidenceAge the maximum time since the
+	// start of the latest of them. They force new probes after this process was stopped.
 	minFailures    = 4
 	maxEvidenceAge = 2 * time.Second
-	// maxReportDelay is how long after its time the failure of a probe may be seen; later, this process stood still
-	// and has not looked for the connection in time.
+	// maxReportDelay is the maximum delay in noticing that a probe timed out. A longer delay means that this process
+	// was stopped and may have missed the connection.
 	maxReportDelay = 500 * time.Millisecond
 )
 
-// A State is what is known of whether a server can be reached.
+// A State is the reachability of a server.
 type State int
 
 // The states of a server.
 const (
-	Reachable State = iota // it has shown life since the latest failed probe, or was not probed
-	Suspect                // probes have failed since its last sign of life
-	Lost                   // it has shown no life for so long that its calls are over
+	Reachable State = iota // active since the latest failed probe, or not probed
+	Suspect                // probes have failed since the last activity
+	Lost                   // inactive for so long that its calls are over
 )
 
-// String returns the state's name, as logs show it.
+// String returns the name of the state as it appears in logs.
 func (s State) String() string {
 	switch s {
 	case Reachable:
@@ -60,44 +61,44 @@
 	return "unknown"
 }
 
-// An Outage is the time in which a server showed no life.
+// An Outage is a period in which a server shows no activity.
 type Outage struct {
-	Began        Time // the last sign of life
+	Began        Time // time of the last activity
 	FailedProbes int
 }
 
-// A Detector follows one server. The zero value is a server whose last sign of life is at time 0.
+// A Detector tracks the state of one server. The zero value is a server that was last active at time 0.
 type Detector struct {
 	state        State
-	lastSign     Time
-	firstFailure Time // start of the first failed probe since lastSign; set in Suspect and Lost
-	lastFailure  Time // start of the latest failed probe since lastSign
+	lastActivity Time
+	firstFailure Time // start of the first failed probe since lastActivity; set in states Suspect and Lost
+	lastFailure  Time // start of the latest failed probe since lastActivity
 	lastProbe    Time // start of the latest probe
-	failures     int  // failed probes since lastSign
+	failures     int  // number of failed probes since lastActivity
 }
 
 // State returns the server's state.
 func (d *Detector) State() State { return d.state }
 
-// Outage returns the outage that lasts; it has no meaning for a server that is Reachable.
-func (d *Detector) Outage() Outage { return Outage{Began: d.lastSign, FailedProbes: d.failures} }
+// Outage returns the current outage. It is meaningless if the server is Reachable.
+func (d *Detector) Outage() Outage { return Outage{Began: d.lastActivity, FailedProbes: d.failures} }
 
-// RecordSign records a sign of life: input, a connection that came up, or one that the server closed. It returns the
-// state that ends with it and the outage, which has no meaning if that state is Reachable.
+// RecordSign records activity: received data, an established connection, or one that the server closed. It returns the
+// previous state and the outage that has ended, which is meaningless if that state is Reachable.
 func (d *Detector) RecordSign(now Time) (State, Outage) {
 	previous, outage := d.state, d.Outage()
-	*d = Detector{lastSign: max(now, d.lastSign), lastProbe: d.lastProbe}
+	*d = Detector{lastActivity: max(now, d.lastActivity), lastProbe: d.lastProbe}
 	return previous, outage
 }
 
-// RecordProbe records the start of a probe, which is any attempt to open a connection.
+// RecordProbe records the start of a probe. Any attempt to open a connection is a probe.
 func (d *Detector) RecordProbe(now Time) { d.lastProbe = now }
 
-// RecordFailure records at now that a probe has brought nothing within its timeout. It reports whether the server
-// becomes Suspect by it. A probe from before the last sign of life proves nothing, nor does one that is reported late.
+// RecordFailure records at now that a probe has timed out and reports whether the server thereby becomes Suspect. It
+// ignores probes that started before the last activity and failures that are reported late.
 func (d *Detector) RecordFailure(now, startedAt Time, timeout time.Duration) (becameSuspect bool) {
 	isLate := now-startedAt > timeout+maxReportDelay
-	if startedAt < d.lastSign || isLate {
+	if startedAt < d.lastActivity || isLate {
 		return false
 	}
 	d.failures++
@@ -110,26 +111,26 @@
 	return true
 }
 
-// RecordRefusal records that the server has refused a connection: its machine runs and nobody listens. It reports
-// whether the process that listened has ended. That is so if the machine could not be reached before, because its
-// connections would have been reset otherwise. A machine that could be reached all the time may refuse for other
-// reasons, such as too many connections: this is a sign of life.
+// RecordRefusal records that the server has refused a connection: its machine runs, but no process is listening. It
+// reports whether the process that was listening has ended. This follows if the machine was unreachable before,
+// because its connections would have been reset otherwise. A machine that was always reachable may refuse for other
+// reasons, such as too many connections, so its refusal counts as activity.
 func (d *Detector) RecordRefusal(now Time) (processEnded bool) {
 	previous, _ := d.RecordSign(now)
 	return previous != Reachable
 }
 
-// IsProbeDue reports whether a server at which calls are established should be probed now.
+// IsProbeDue reports whether a server with established calls should be probed now.
 func (d *Detector) IsProbeDue(now Time) bool {
-	isQuiet := now-d.lastSign >= ProbeAfter
+	isQuiet := now-d.lastActivity >= ProbeAfter
 	return d.state != Lost && isQuiet && now-d.lastProbe >= ProbeInterval
 }
 
-// CheckLost reports whether the server becomes Lost now: the calls that are established there are over.
+// CheckLost reports whether the server becomes Lost now, which means that its established calls are over.
 func (d *Detector) CheckLost(now Time) bool {
-	isLong := now-d.lastSign >= MaxSilence && now-d.firstFailure >= MinOutage
+	isExpired := now-d.lastActivity >= MaxSilence && now-d.firstFailure >= MinOutage
 	isProven := d.failures >= minFailures && now-d.lastFailure <= maxEvidenceAge
-	if d.state != Suspect || !isLong || !isProven {
+	if d.state != Suspect || !isExpired || !isProven {
 		return false
 	}
 	d.state = Lost
--- a/internal/reachability/detector_test.go
+++ b/internal/reachability/detector_test.go
@@ -9,53 +9,53 @@
 
 const ms = time.Millisecond
 
-// A played server is followed as internal/backend does it: in ticks, with probes that fail while the server cannot be
-// reached.
-type played struct {
+// A simulation drives a Detector as internal/backend does: in ticks, with probes that fail while the server is
+// unreachable.
+type simulation struct {
 	detector Detector
 	tick     time.Duration
-	timeout  time.Duration // of a probe
+	timeout  time.Duration // timeout of a probe
 	isDown   func(now Time) bool
-	input    func(from, to Time) bool // the server sends something of its own in (from, to]
-	pending  []Time                   // starts of probes that have not failed yet
+	input    func(from, to Time) bool // whether the server sends unsolicited data in (from, to]
+	pending  []Time                   // start times of probes that have not failed yet
 }
 
-// play runs ticks until a time and returns when the calls were found to be over; 0: never.
-func (p *played) play(until Time) Time {
-	for now := p.tick; now < until; now += p.tick {
-		if p.input(now-p.tick, now) {
-			p.detector.RecordSign(now)
+// run runs ticks until a time. It returns the time at which the calls were declared over; 0: never.
+func (s *simulation) run(until Time) Time {
+	for now := s.tick; now < until; now += s.tick {
+		if s.input(now-s.tick, now) {
+			s.detector.RecordSign(now)
 		}
-		p.expireProbes(now)
-		if p.detector.CheckLost(now) {
+		s.expireProbes(now)
+		if s.detector.CheckLost(now) {
 			return now
 		}
-		if !p.detector.IsProbeDue(now) {
+		if !s.detector.IsProbeDue(now) {
 			continue
 		}
-		p.detector.RecordProbe(now)
-		if p.isDown(now) {
-			p.pending = append(p.pending, now)
+		s.detector.RecordProbe(now)
+		if s.isDown(now) {
+			s.pending = append(s.pending, now)
 		} else {
-			p.detector.RecordSign(now)
+			s.detector.RecordSign(now)
 		}
 	}
 	return 0
 }
 
-// expireProbes fails the probes that have waited for their whole time.
-func (p *played) expireProbes(now Time) {
-	for len(p.pending) > 0 && now-p.pending[0] >= p.timeout {
-		p.detector.RecordFailure(now, p.pending[0], p.timeout)
-		p.pending = p.pending[1:]
+// expireProbes records the failure of the probes that have timed out.
+func (s *simulation) expireProbes(now Time) {
+	for len(s.pending) > 0 && now-s.pending[0] >= s.timeout {
+		s.detector.RecordFailure(now, s.pending[0], s.timeout)
+		s.pending = s.pending[1:]
 	}
 }
 
-// silent is a server that sends nothing of its own.
+// silent is the input of a server that sends no unsolicited data.
 func silent(Time, Time) bool { return false }
 
-// From whatever moment on a server has vanished, its calls are over at the latest 7.9 s later and not sooner than 6 s;
-// a partition of 6 s or less ends no call, whenever it begins.
+// Whenever a server fails, its calls are declared over between 6 s and 7.9 s later. A partition of 6 s or less ends no
+// call, whenever it begins.
 func TestVanishedAndPartitioned(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -63,31 +63,32 @@
 		length := time.Duration(rapid.IntRange(0, 6000).Draw(t, "length")) * ms
 		tick := time.Duration(rapid.IntRange(20, 150).Draw(t, "tick")) * ms
 		lastInput := start - time.Duration(rapid.IntRange(0, 2000).Draw(t, "quiet"))*ms
-		p := played{tick: tick, timeout: MaxProbeTimeout}
-		p.input = func(from, to Time) bool { return from < lastInput && lastInput <= to }
-		p.isDown = func(now Time) bool { return now >= start && now < start+length }
-		if over := p.play(40 * time.Second); over > 0 {
-			t.Fatalf("calls are over %v after the start of a partition of %v", over-start, length)
+		s := simulation{tick: tick, timeout: MaxProbeTimeout}
+		s.input = func(from, to Time) bool { return from < lastInput && lastInput <= to }
+		s.isDown = func(now Time) bool { return now >= start && now < start+length }
+		if lostAt := s.run(40 * time.Second); lostAt > 0 {
+			t.Fatalf("calls were declared over %v after the start of a partition of %v", lostAt-start, length)
 		}
-		p = played{tick: tick, timeout: MaxProbeTimeout, input: p.input}
-		p.isDown = func(now Time) bool { return now >= start }
-		over := p.play(40 * time.Second)
-		if over-start > 7900*ms || over-start < 6*time.Second {
-			t.Fatalf("calls are over %v after the server vanished", over-start)
+		s = simulation{tick: tick, timeout: MaxProbeTimeout, input: s.input}
+		s.isDown = func(now Time) bool { return now >= start }
+		lostAt := s.run(40 * time.Second)
+		if lostAt-start > 7900*ms || lostAt-start < 6*time.Second {
+			t.Fatalf("calls were declared over %v after the server failed, want 6 s to 7.9 s", lostAt-start)
 		}
 	})
 }
 
-// A process that hangs is reachable for as long as its connections come up.
+// A process that hangs remains reachable as long as its machine accepts connections.
 func TestHang(t *testing.T) {
 	t.Parallel()
-	p := played{tick: 150 * ms, timeout: MaxProbeTimeout, input: silent, isDown: func(Time) bool { return false }}
-	if over := p.play(10 * time.Minute); over > 0 {
-		t.Errorf("calls are over at %v", over)
+	s := simulation{tick: 150 * ms, timeout: MaxProbeTimeout, input: silent, isDown: func(Time) bool { return false }}
+	if lostAt := s.run(10 * time.Minute); lostAt > 0 {
+		t.Errorf("calls were declared over at %v", lostAt)
 	}
 }
 
-// failProbes records probes that are started in a row at intervals and fail; it returns when the last one has.
+// failProbes records consecutive probes, one per ProbeInterval, that all time out. It returns the time at which the
+// last one fails.
 func failProbes(d *Detector, from Time, count int) (now Time) {
 	for i := range count {
 		startedAt := from + time.Duration(i)*ProbeInterval
@@ -98,8 +99,8 @@
 	return now
 }
 
-// A controller that stood still has no sign of life for long, and must probe before it decides: in whatever state it
-// was stopped, and also if the failure of a probe from before is reported behind it.
+// A controller that was stopped has recorded no activity for a long time, and must probe again before it declares calls
+// over. This holds in each state, and also if the failure of a probe from before the stop is reported afterwards.
 func TestStoppedController(t *testing.T) {
 	t.Parallel()
 	const resumed = 20 * time.Second
@@ -113,9 +114,9 @@
 			d := &Detector{}
 			d.RecordSign(time.Second)
 			beforeStop(d)
-			d.RecordFailure(resumed, 4*time.Second, MaxProbeTimeout) // of a dial whose time ran out meanwhile
+			d.RecordFailure(resumed, 4*time.Second, MaxProbeTimeout) // of a dial that timed out during the stop
 			if d.CheckLost(resumed) {
-				t.Fatal("lost without a probe since it continued")
+				t.Fatal("lost without a probe since the controller resumed")
 			}
 			if !d.IsProbeDue(resumed) {
 				t.Fatal("no probe is due")
@@ -127,7 +128,7 @@
 	}
 }
 
-// The calls are over only if enough probes have failed for long enough, up to now.
+// A server becomes Lost only if enough probes have failed, over a long enough time and recently.
 func TestCheckLost(t *testing.T) {
 	t.Parallel()
 	first := 2 * time.Second
@@ -135,55 +136,55 @@
 	few.RecordSign(time.Second)
 	failProbes(few, first+MinOutage, minFailures-1)
 	if few.CheckLost(first + MinOutage + time.Minute) {
-		t.Error("lost after few failed probes")
+		t.Error("lost after too few failed probes")
 	}
 	many.RecordSign(time.Second)
 	count := int(MinOutage/ProbeInterval) + 1
 	end := failProbes(many, first, count)
 	if many.CheckLost(first + MinOutage - ms) {
-		t.Error("lost before the outage has lasted for MinOutage")
+		t.Error("lost before MinOutage has passed")
 	}
 	if many.CheckLost(end + maxEvidenceAge) {
-		t.Error("lost by probes of long ago")
+		t.Error("lost by probes older than maxEvidenceAge")
 	}
 	if !many.CheckLost(max(first+MinOutage, time.Second+MaxSilence)) {
 		t.Error("not lost after MinOutage and MaxSilence")
 	}
 	if many.CheckLost(end) || many.State() != Lost || many.IsProbeDue(end+time.Minute) {
-		t.Error("a lost server is lost once, and is not probed")
+		t.Error("a lost server became lost again, changed its state or is due for a probe")
 	}
 }
 
-// Each input changes the state in one way.
+// Each kind of input causes the documented state transition.
 func TestTransitions(t *testing.T) {
 	t.Parallel()
 	suspect := func() *Detector {
 		d := &Detector{}
 		d.RecordSign(time.Second)
 		if !d.RecordFailure(2500*ms, 2*time.Second, MaxProbeTimeout) || d.State() != Suspect {
-			t.Fatal("a failed probe makes no suspect")
+			t.Fatal("a failed probe did not make the server suspect")
 		}
 		return d
 	}
 	d := suspect()
 	if d.RecordFailure(3500*ms, 3*time.Second, MaxProbeTimeout) {
-		t.Error("a suspect becomes suspect again")
+		t.Error("a suspect server became suspect again")
 	}
 	if previous, outage := d.RecordSign(4 * time.Second); previous != Suspect || outage != (Outage{time.Second, 2}) {
-		t.Errorf("%v, %+v end with a sign of life", previous, outage)
+		t.Errorf("activity ended state %v and outage %+v, want suspect and 2 failed probes since 1 s", previous, outage)
 	}
 	if d.State() != Reachable || d.RecordFailure(4*time.Second, 3500*ms, MaxProbeTimeout) {
-		t.Error("a probe from before the sign of life counts")
+		t.Error("a probe from before the last activity counts")
 	}
 	if d.RecordRefusal(5 * time.Second) {
-		t.Error("a refusal ends the process of a server that could be reached")
+		t.Error("a refusal by a reachable server counts as the end of its process")
 	}
 	if d := suspect(); !d.RecordRefusal(3*time.Second) || d.State() != Reachable {
-		t.Error("a refusal behind an outage does not end the process")
+		t.Error("a refusal after an outage does not count as the end of the process")
 	}
 	for state, name := range map[State]string{Reachable: "reachable", Suspect: "suspect", Lost: "lost", 9: "unknown"} {
 		if state.String() != name {
-			t.Errorf("%d is %q, want %q", state, state, name)
+			t.Errorf("state %d is called %q, want %q", state, state, name)
 		}
 	}
 }
