--- a/internal/backend/reachability.go
+++ b/internal/backend/reachability.go
@@ -21,7 +21,7 @@
 // recordSign notes a sign of life.
 func (c *Conn) recordSign() {
 	now := c.set.loop.Now()
-	previous, outage := c.reach.RecordSign(now)
+	previous, outage := c.reach.RecordActivity(now)
 	if previous != reachability.Reachable {
 		c.logReachable(previous, outage, now)
 	}
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -83,9 +83,9 @@
 // Outage returns the current outage. It is meaningless if the server is Reachable.
 func (d *Detector) Outage() Outage { return Outage{Began: d.lastActivity, FailedProbes: d.failures} }
 
-// RecordSign records activity: received data, an established connection, or one that the server closed. It returns the
-// previous state and the outage that has ended, which is meaningless if that state is Reachable.
-func (d *Detector) RecordSign(now Time) (State, Outage) {
+// RecordActivity records activity: received data, an established connection, or one that the server closed. It returns
+// the previous state and the outage that has ended, which is meaningless if that state is Reachable.
+func (d *Detector) RecordActivity(now Time) (State, Outage) {
 	previous, outage := d.state, d.Outage()
 	*d = Detector{lastActivity: max(now, d.lastActivity), lastProbe: d.lastProbe}
 	return previous, outage
@@ -116,7 +116,7 @@
 // because its connections would have been reset otherwise. A machine that was always reachable may refuse for other
 // reasons, such as too many connections, so its refusal counts as activity.
 func (d *Detector) RecordRefusal(now Time) (processEnded bool) {
-	previous, _ := d.RecordSign(now)
+	previous, _ := d.RecordActivity(now)
 	return previous != Reachable
 }
 
--- a/internal/reachability/detector_test.go
+++ b/internal/reachability/detector_test.go
@@ -24,7 +24,7 @@
 func (s *simulation) run(until Time) Time {
 	for now := s.tick; now < until; now += s.tick {
 		if s.input(now-s.tick, now) {
-			s.detector.RecordSign(now)
+			s.detector.RecordActivity(now)
 		}
 		s.expireProbes(now)
 		if s.detector.CheckLost(now) {
@@ -37,7 +37,7 @@
 		if s.isDown(now) {
 			s.pending = append(s.pending, now)
 		} else {
-			s.detector.RecordSign(now)
+			s.detector.RecordActivity(now)
 		}
 	}
 	return 0
@@ -112,7 +112,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := &Detector{}
-			d.RecordSign(time.Second)
+			d.RecordActivity(time.Second)
 			beforeStop(d)
 			d.RecordFailure(resumed, 4*time.Second, MaxProbeTimeout) // of a dial that timed out during the stop
 			if d.CheckLost(resumed) {
@@ -133,12 +133,12 @@
 	t.Parallel()
 	first := 2 * time.Second
 	few, many := &Detector{}, &Detector{}
-	few.RecordSign(time.Second)
+	few.RecordActivity(time.Second)
 	failProbes(few, first+MinOutage, minFailures-1)
 	if few.CheckLost(first + MinOutage + time.Minute) {
 		t.Error("lost after too few failed probes")
 	}
-	many.RecordSign(time.Second)
+	many.RecordActivity(time.Second)
 	count := int(MinOutage/ProbeInterval) + 1
 	end := failProbes(many, first, count)
 	if many.CheckLost(first + MinOutage - ms) {
@@ -160,7 +160,7 @@
 	t.Parallel()
 	suspect := func() *Detector {
 		d := &Detector{}
-		d.RecordSign(time.Second)
+		d.RecordActivity(time.Second)
 		if !d.RecordFailure(2500*ms, 2*time.Second, MaxProbeTimeout) || d.State() != Suspect {
 			t.Fatal("a failed probe did not make the server suspect")
 		}
@@ -170,7 +170,7 @@
 	if d.RecordFailure(3500*ms, 3*time.Second, MaxProbeTimeout) {
 		t.Error("a suspect server became suspect again")
 	}
-	if previous, outage := d.RecordSign(4 * time.Second); previous != Suspect || outage != (Outage{time.Second, 2}) {
+	if previous, outage := d.RecordActivity(4 * time.Second); previous != Suspect || outage != (Outage{time.Second, 2}) {
 		t.Errorf("activity ended state %v and outage %+v, want suspect and 2 failed probes since 1 s", previous, outage)
 	}
 	if d.State() != Reachable || d.RecordFailure(4*time.Second, 3500*ms, MaxProbeTimeout) {
