--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -136,13 +136,13 @@
 const (
 	answersQuickly behavior = iota
 	answersSlowly
-	answersNothing
-	losesSome
-	rejectsSome
-	hasNoCircuit
+	neverAnswers
+	losesSomeAttempts
+	rejectsSomeAttempts
+	lacksCircuits
 	losesConnection
-	failsSome
-	behaviors
+	failsSomeAttempts
+	behaviorCount
 )
 
 type simulatedServer struct {
@@ -161,15 +161,15 @@
 
 // traffic drives a state machine with calls, load reports and servers that change their behavior.
 type traffic struct {
-	machine *StateMachine
-	now     Time
-	rng     *rand.Rand
-	h       hash.Hash
-	servers []*simulatedServer
-	events  []pendingEvent
-	attempt map[string]int
-	calls   int
-	actions int
+	machine        *StateMachine
+	now            Time
+	rng            *rand.Rand
+	h              hash.Hash
+	servers        []*simulatedServer
+	events         []pendingEvent
+	attemptsByCall map[string]int
+	calls          int
+	actions        int
 }
 
 func trafficSettings(seed uint64) Settings {
@@ -204,7 +204,7 @@
 	}
 	s := &traffic{
 		machine: machine, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 11)), h: sha256.New(),
-		attempt: map[string]int{},
+		attemptsByCall: map[string]int{},
 	}
 	if seed%2 == 1 {
 		machine.overloadControl = recordingControl{h: s.h, rng: rand.New(rand.NewPCG(seed, 13)), throttles: seed%4 == 1}
@@ -253,8 +253,8 @@
 
 // start schedules the outcome of an attempt.
 func (s *traffic) start(x SendAttempt) {
-	attempt := s.attempt[x.CallID]
-	s.attempt[x.CallID]++
+	attempt := s.attemptsByCall[x.CallID]
+	s.attemptsByCall[x.CallID]++
 	end := func(after time.Duration, result AttemptResult, cause FailureCause) {
 		retryAfter := time.Duration(s.rng.IntN(3)) * 400 * millisecond
 		s.schedule(min(after, x.Timeout), x.CallID, attempt, AttemptEnded{
@@ -281,15 +281,15 @@
 	switch b := s.server(x.Server).behavior; {
 	case b == answersSlowly:
 		establish(time.Duration(200+s.rng.IntN(1200)) * millisecond)
-	case b == answersNothing, b == losesSome && chance == 0:
+	case b == neverAnswers, b == losesSomeAttempts && chance == 0:
 		end(x.Timeout, ResultTimedOut, CauseNone)
-	case b == rejectsSome && chance < 5:
+	case b == rejectsSomeAttempts && chance < 5:
 		end(quick, ResultServerBusy, CauseProcessorBusy)
-	case b == hasNoCircuit && chance < 8:
+	case b == lacksCircuits && chance < 8:
 		end(quick, ResultServerBusy, CauseNoCircuit)
 	case b == losesConnection:
 		end(time.Duration(300+s.rng.IntN(500))*millisecond, ResultConnectionLost, CauseConnectionUnresponsive)
-	case b == failsSome && chance < 6:
+	case b == failsSomeAttempts && chance < 6:
 		results := []AttemptResult{ResultServerError, ResultDialFailed, ResultNotSent, ResultConnectionLost, ResultServerError, ResultCanceled}
 		causes := []FailureCause{CauseDestinationBusy, CauseNone, CauseNone, CauseReturned, CauseReturned, CauseNone}
 		end(quick, results[chance], causes[chance])
@@ -356,7 +356,7 @@
 		s.handle(LoadReported{Server: id, OK: true, Load: s.report(id)})
 	}
 	if s.rng.IntN(150) == 0 {
-		s.servers[s.rng.IntN(len(s.servers))].behavior = behavior(s.rng.IntN(int(behaviors)))
+		s.servers[s.rng.IntN(len(s.servers))].behavior = behavior(s.rng.IntN(int(behaviorCount)))
 	} else if s.rng.IntN(60) == 0 {
 		s.servers[s.rng.IntN(len(s.servers))].behavior = answersQuickly
 	}
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -175,5 +175,5 @@
 	return sent
 }
 
-// isForgotten reports whether a call has been deleted: it has its final answer and no open attempt.
-func (tc *testController) isForgotten(id string) bool { return tc.machine.calls.byID[id] == nil }
+// isDeleted reports whether a call has been deleted: it has its final answer and no open attempt.
+func (tc *testController) isDeleted(id string) bool { return tc.machine.calls.byID[id] == nil }
--- a/internal/admission/priority_test.go
+++ b/internal/admission/priority_test.go
@@ -166,7 +166,7 @@
 	if maxSent := burstSize + 1 + int(4*tc.machine.latencyThreshold.Seconds()+1); sent > maxSent || sent < 2 {
 		t.Errorf("%d calls were sent while none was answered, after 4 answers per second: want 2 to %d", sent, maxSent)
 	}
-	if id, server := tc.offer("read", 3); server != "" || !tc.isForgotten(id) {
+	if id, server := tc.offer("read", 3); server != "" || !tc.isDeleted(id) {
 		t.Errorf("a further call went to %q or was not rejected immediately", server)
 	}
 	if server := tc.offerCall(CallOffered{
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -20,7 +20,7 @@
 	attempts    map[string]int
 	established map[string]bool
 	guardEnds   map[string]Time // end of the retry guard by call
-	closed      map[string]bool
+	inactive    map[string]bool
 	trace       []Action
 }
 
@@ -38,7 +38,7 @@
 			if s.now < s.guardEnds[x.CallID] {
 				s.t.Fatalf("%v: sent within the retry guard", x)
 			}
-			if s.closed[x.Server] {
+			if s.inactive[x.Server] {
 				s.t.Fatalf("%v: sent to a draining or removed server", x)
 			}
 			s.open[x.CallID] = x
@@ -80,10 +80,10 @@
 		id := fmt.Sprint("s", s.rng.IntN(4))
 		state := ServerState(s.rng.IntN(3))
 		listing := Server{ID: id, Pool: int(id[1] - '0'), State: state}
-		if state == Active && s.closed[id] {
+		if state == Active && s.inactive[id] {
 			listing.Started = s.now
 		}
-		s.closed[id] = state != Active
+		s.inactive[id] = state != Active
 		s.check(s.handle(ServersUpdated{Servers: []Server{listing}}))
 	case len(ids) > 0 && s.rng.IntN(4) == 0:
 		id := ids[s.rng.IntN(len(ids))]
@@ -134,7 +134,7 @@
 		}),
 		rng: rand.New(rand.NewPCG(seed, 7)), deadlines: map[string]Time{}, decided: map[string]bool{},
 		open: map[string]SendAttempt{}, attempts: map[string]int{}, established: map[string]bool{},
-		guardEnds: map[string]Time{}, closed: map[string]bool{},
+		guardEnds: map[string]Time{}, inactive: map[string]bool{},
 	}
 }
 
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -56,7 +56,7 @@
 // Error returns the description of the problem.
 func (e *SettingsError) Error() string { return e.Problem }
 
-func settingsError(field, format string, args ...any) error {
+func newSettingsError(field, format string, args ...any) error {
 	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -65,13 +65,13 @@
 	const countsProblem = "group size %d and max attempts %d must be at least 1"
 	switch {
 	case s.Topology != topologyPools:
-		return settingsError("Topology", "topology %q is not supported", s.Topology)
+		return newSettingsError("Topology", "topology %q is not supported", s.Topology)
 	case len(s.Classes) == 0:
-		return settingsError("Classes", "no classes are configured")
+		return newSettingsError("Classes", "no classes are configured")
 	case s.ControllerCount < 1:
-		return settingsError("ControllerCount", countsProblem, s.ControllerCount, s.MaxAttempts)
+		return newSettingsError("ControllerCount", countsProblem, s.ControllerCount, s.MaxAttempts)
 	case s.MaxAttempts < 1:
-		return settingsError("MaxAttempts", countsProblem, s.ControllerCount, s.MaxAttempts)
+		return newSettingsError("MaxAttempts", countsProblem, s.ControllerCount, s.MaxAttempts)
 	}
 	if err := s.validateSlowStartAndTimes(); err != nil {
 		return err
@@ -88,15 +88,15 @@
 	const negativeProblem = "a duration is negative"
 	switch {
 	case s.ResendInterval < 0:
-		return settingsError("ResendInterval", negativeProblem)
+		return newSettingsError("ResendInterval", negativeProblem)
 	case s.RetryGuard < 0:
-		return settingsError("RetryGuard", negativeProblem)
+		return newSettingsError("RetryGuard", negativeProblem)
 	case s.SlowStartPeriod < 0:
-		return settingsError("SlowStartPeriod", negativeProblem)
+		return newSettingsError("SlowStartPeriod", negativeProblem)
 	}
 	isShare := s.SlowStartShare >= 0 && s.SlowStartShare <= 1 // false for NaN
 	if !isShare {
-		return settingsError("SlowStartShare", "start share %v must be between 0 and 1", s.SlowStartShare)
+		return newSettingsError("SlowStartShare", "start share %v must be between 0 and 1", s.SlowStartShare)
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 	if c.LatencyObjective > 0 && c.Deadline >= c.LatencyObjective && hasWeight {
 		return nil
 	}
-	return settingsError("Classes", "class %q: want 0 < aim (%v) <= deadline (%v) and credit (%v) >= 0",
+	return newSettingsError("Classes", "class %q: want 0 < aim (%v) <= deadline (%v) and credit (%v) >= 0",
 		c.Name, c.LatencyObjective, c.Deadline, c.Weight)
 }
 
