--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -119,8 +119,8 @@
 	fmt.Fprintln(r.h, "overload", int64(now), server)
 }
 
-func (r recordingControl) Throttle(now Time, server string, priority Priority, first bool) (Reason, bool) {
-	fmt.Fprintln(r.h, "throttle", int64(now), server, priority, first)
+func (r recordingControl) Throttle(now Time, server string, priority Priority, preferred bool) (Reason, bool) {
+	fmt.Fprintln(r.h, "throttle", int64(now), server, priority, preferred)
 	if !r.throttles || r.rng.IntN(4) > 0 {
 		return "", false
 	}
--- a/internal/admission/overloadcontrol.go
+++ b/internal/admission/overloadcontrol.go
@@ -17,10 +17,10 @@
 	RecordResult(now Time, server string, established bool, elapsed time.Duration)
 	// RecordOverload records evidence that a server is overloaded.
 	RecordOverload(now Time, server string)
-	// Throttle returns the reason to withhold a call from a server, "" if there is none. It is called only for
-	// servers that the controller itself considers available, its own rate limit aside. If known is true, the
-	// answer replaces that rate limit.
-	Throttle(now Time, server string, priority Priority, first bool) (reason Reason, known bool)
+	// Throttle returns the reason to withhold a call from a server, "" if there is none. preferred means that the
+	// server is in the call's preferred pool. Throttle is called only for servers that the controller itself
+	// considers available, its own rate limit aside. If known is true, the answer replaces that rate limit.
+	Throttle(now Time, server string, priority Priority, preferred bool) (reason Reason, known bool)
 }
 
 // noOverloadControl is the OverloadControl of a controller that decides independently of the others.
--- a/internal/admission/overloadcontrol_test.go
+++ b/internal/admission/overloadcontrol_test.go
@@ -7,7 +7,7 @@
 
 // A fakeOverloadControl throttles by a function of the test and counts the recorded events.
 type fakeOverloadControl struct {
-	throttle      func(server string, priority Priority, first bool) (Reason, bool)
+	throttle      func(server string, priority Priority, preferred bool) (Reason, bool)
 	throttleCalls int
 	offered       map[string]int
 	sent          map[string]int
@@ -24,12 +24,12 @@
 	f.unanswered[server]--
 }
 func (f *fakeOverloadControl) RecordOverload(Time, string) { f.overloads++ }
-func (f *fakeOverloadControl) Throttle(_ Time, server string, priority Priority, first bool) (Reason, bool) {
+func (f *fakeOverloadControl) Throttle(_ Time, server string, priority Priority, preferred bool) (Reason, bool) {
 	f.throttleCalls++
-	return f.throttle(server, priority, first)
+	return f.throttle(server, priority, preferred)
 }
 
-func newFakeOverloadControl(throttle func(server string, priority Priority, first bool) (Reason, bool)) *fakeOverloadControl {
+func newFakeOverloadControl(throttle func(server string, priority Priority, preferred bool) (Reason, bool)) *fakeOverloadControl {
 	return &fakeOverloadControl{
 		throttle: throttle, offered: map[string]int{}, sent: map[string]int{},
 		unanswered: map[string]int{},
