--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -26,11 +26,11 @@
 	// MaxSilence is the time since the last activity after which the calls count as over. If a call ends without a
 	// release, its caller must be notified within 8 s; the remaining time is for ticks and message delivery.
 	MaxSilence = 7600 * time.Millisecond
-	// MinOutage is the minimum time from the start of the first failed probe to that decision. It ensures that a
-	// partition of 6 s ends no call, even if this process was stopped for a while.
+	// MinOutage is the minimum time from the start of the first failed probe until the calls count as over. It ensures
+	// that a partition of 6 s ends no call, even if this process was stopped for a while.
 	MinOutage = 6400 * time.Millisecond
-	// minFailures is the number of probes that must have failed by then, and maxEvidenceAge the maximum time since the
-	// start of the latest of them. They force new probes after this process was stopped.
+	// minFailures is the number of probes that must have failed until then, and maxEvidenceAge the maximum time since
+	// the start of the latest of them. They force new probes after this process was stopped.
 	minFailures    = 4
 	maxEvidenceAge = 2 * time.Second
 	// maxReportDelay is the maximum delay in noticing that a probe timed out. A longer delay means that this process
