--- a/internal/server/late_connections.go
+++ b/internal/server/late_connections.go
@@ -8,14 +8,14 @@
 
 // Times of the connections that come as the process ends.
 const (
-	// lateLookInterval is the time between two looks for connections; after lateQuietLooks in a row without any nobody
+	// latePollInterval is the time between two looks for connections; after lateQuietLooks in a row without any nobody
 	// is there any more. Looks are counted, not time: a process that gets no processor has not looked.
-	lateLookInterval = 5 * time.Millisecond
-	lateQuietLooks   = 12
-	// lateLimit bounds how long connections are accepted: SIGKILL may be near.
-	lateLimit = 200 * time.Millisecond
-	// lateReadTime bounds the wait for the set-ups of connections that were accepted.
-	lateReadTime = 100 * time.Millisecond
+	latePollInterval = 5 * time.Millisecond
+	lateIdlePolls   = 12
+	// lateAcceptTimeout bounds how long connections are accepted: SIGKILL may be near.
+	lateAcceptTimeout = 200 * time.Millisecond
+	// lateReadTimeout bounds the wait for the set-ups of connections that were accepted.
+	lateReadTimeout = 100 * time.Millisecond
 )
 
 // lateConnections is the progress of the state stopping. A set-up that crosses the close of its connection is sent
@@ -23,7 +23,7 @@
 // process. So connections are accepted for a while longer, and their set-ups rejected.
 type lateConnections struct {
 	acceptUntil time.Duration
-	quietLooks  int   // looks in a row without a new connection
+	idlePolls  int   // looks in a row without a new connection
 	accepted    int64 // connections at the latest look
 	isAccepting bool
 	readUntil   time.Duration // set once accepting has ended
@@ -36,7 +36,7 @@
 func (s *Server) closeConnections() {
 	for _, f := range s.frontends.all() {
 		for _, c := range f.Connections() {
-			if !s.mayBringSetup(c) {
+			if !s.mayDeliverSetup(c) {
 				s.loop.CloseSocket(c.Conn().Socket())
 			}
 		}
@@ -44,7 +44,7 @@
 	s.backends.Close()
 	now := s.loop.Now()
 	s.lifecycle.late = lateConnections{
-		acceptUntil: now + lateLimit,
+		acceptUntil: now + lateAcceptTimeout,
 		accepted:    s.listeners.accepted(),
 		isAccepting: true,
 	}
@@ -52,51 +52,51 @@
 	s.loop.RunIteration(func() {}) // sets the timer
 }
 
-// mayBringSetup reports whether part of a message has come on a connection, or its first set-up may be on its way.
-func (s *Server) mayBringSetup(c frontend.Connection) bool {
+// mayDeliverSetup reports whether part of a message has come on a connection, or its first set-up may be on its way.
+func (s *Server) mayDeliverSetup(c frontend.Connection) bool {
 	conn := c.Conn()
-	return conn.HasPartialMessage() || !conn.HasSentMessage() && conn.Age(s.loop.Now()) < lateReadTime
+	return conn.HasPartialMessage() || !conn.HasSentMessage() && conn.Age(s.loop.Now()) < lateReadTimeout
 }
 
-// checkEnd ends accepting once no connection has come for a while, and the event loop once all that was accepted has
+// checkStopping ends accepting once no connection has come for a while, and the event loop once all that was accepted has
 // its answer. Everything that is still open then is read and answered as the loop closes it.
-func (s *Server) checkEnd(now time.Duration) {
+func (s *Server) checkStopping(now time.Duration) {
 	late := &s.lifecycle.late
-	s.lifecycle.checkAt = now + lateLookInterval
+	s.lifecycle.checkAt = now + latePollInterval
 	switch {
 	case s.lifecycle.state == stateEnded || late.acceptUntil == 0:
 	case late.isAccepting:
-		if late.look(now, s.listeners.accepted()) {
+		if late.poll(now, s.listeners.accepted()) {
 			return
 		}
 		late.isAccepting = false
 		s.listeners.close()
 		go func() {
 			s.listeners.await()
-			s.loop.ExecuteIteration(func() { late.readUntil = s.loop.Now() + lateReadTime })
+			s.loop.ExecuteIteration(func() { late.readUntil = s.loop.Now() + lateReadTimeout })
 		}()
 	case late.readUntil == 0: // the queues of the listening sockets are being emptied
-	case now >= late.readUntil || !s.awaitsSetups():
+	case now >= late.readUntil || !s.hasUnansweredConnections():
 		s.lifecycle.state = stateEnded
 		close(s.lifecycle.ended)
 	}
 }
 
-// look notes the number of connections at a look, and reports whether to go on accepting.
-func (l *lateConnections) look(now time.Duration, accepted int64) bool {
-	l.quietLooks++
+// poll notes the number of connections at a poll, and reports whether to go on accepting.
+func (l *lateConnections) poll(now time.Duration, accepted int64) bool {
+	l.idlePolls++
 	if accepted > l.accepted {
-		l.quietLooks = 0
+		l.idlePolls = 0
 		l.accepted = accepted
 	}
-	return l.quietLooks < lateQuietLooks && now < l.acceptUntil
+	return l.idlePolls < lateIdlePolls && now < l.acceptUntil
 }
 
-// awaitsSetups reports whether a connection has not brought a complete message, or has not been sent all answers.
-func (s *Server) awaitsSetups() bool {
+// hasUnansweredConnections reports whether a connection has not brought a complete message, or has not been sent all answers.
+func (s *Server) hasUnansweredConnections() bool {
 	for _, f := range s.frontends.all() {
 		for _, c := range f.Connections() {
-			if s.mayBringSetup(c) || c.Conn().HasUnreadOutput() {
+			if s.mayDeliverSetup(c) || c.Conn().HasUnreadOutput() {
 				return true
 			}
 		}
--- a/internal/server/late_connections_test.go
+++ b/internal/server/late_connections_test.go
@@ -13,14 +13,14 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// startEnding brings a server without pending work to the state stopping.
-func (b *testbed) startEnding() {
+// startStopping brings a server without pending work to the state stopping.
+func (b *testbed) startStopping() {
 	b.t.Helper()
 	b.server.Stop()
 	b.runIteration(func() {
-		b.server.lifecycle.drainingSince -= lingerTime
-		b.server.lifecycle.quietSince = b.server.loop.Now() - 2*quietTime
-		b.server.checkShutdown(b.server.loop.Now())
+		b.server.lifecycle.drainingSince -= minDrainTime
+		b.server.lifecycle.quietSince = b.server.loop.Now() - 2*quietPeriod
+		b.server.checkDraining(b.server.loop.Now())
 	})
 	if b.isServing() {
 		b.t.Fatal("the server has not begun to end")
@@ -33,7 +33,7 @@
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{})
-	bed.startEnding()
+	bed.startStopping()
 	address := bed.jsonAddress()
 	dial := func(text string) net.Conn {
 		conn, err := net.Dial("tcp", address)
@@ -50,7 +50,7 @@
 	garbage, silent := dial("GET / HTTP/1.1\r\n\r\n"), dial("")
 	start := time.Now()
 	bed.awaitEnd()
-	if took := time.Since(start); took > lateLimit+lateReadTime+time.Second {
+	if took := time.Since(start); took > lateAcceptTimeout+lateReadTimeout+time.Second {
 		t.Errorf("took %v", took)
 	}
 	if rejected := bed.server.frontends.host.Counters.LateSetups; rejected != 1 {
@@ -88,7 +88,7 @@
 		bed.runIteration(func() { has = bed.findClient("").Conn().HasPartialMessage() })
 		return has
 	})
-	bed.startEnding()
+	bed.startStopping()
 	_, _ = bed.caller.conn.Write(text[len(text)/2:])
 	if got := bed.answers.await(t, testCallID, 1); got != "end 34" {
 		t.Error(got)
@@ -106,7 +106,7 @@
 	exchange.awaitReceived("INVITE", id, 1)
 	exchange.send(sipResponse(id, "INVITE", 200, 1, "a"))
 	bed.answers.await(t, id, 1)
-	bed.startEnding()
+	bed.startStopping()
 	exchange.send(sipRelease(id, 16))
 	conn, err := net.Dial("tcp", bed.jsonAddress())
 	if err != nil {
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -107,7 +107,7 @@
 	s.loop.RunIteration(func() {
 		now := s.loop.Now()
 		if s.lifecycle.isEnding() {
-			s.checkEnd(now)
+			s.checkStopping(now)
 			return
 		}
 		s.calls.Tick()
@@ -118,7 +118,7 @@
 			s.poll(now)
 		}
 		if s.lifecycle.isCheckDue(now) {
-			s.checkShutdown(now)
+			s.checkDraining(now)
 		}
 	})
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -4,16 +4,16 @@
 
 // Times of an orderly shutdown. SIGKILL follows the SIGTERM that asks for it by the platform's own time.
 const (
-	// lingerTime is how long after SIGTERM set-ups are still to be expected.
-	lingerTime = 750 * time.Millisecond
+	// minDrainTime is how long after SIGTERM set-ups are still to be expected.
+	minDrainTime = 750 * time.Millisecond
 	// shutdownTimeout, or the longest deadline if that is shorter: SIGKILL follows 0.7 s behind.
 	shutdownTimeout = 3 * time.Second
 	// rejectDelay: shutdownTimeout and this after SIGTERM whatever is open is answered.
 	rejectDelay = 300 * time.Millisecond
-	// quietTime is how long there must be no pending work before the process ends.
-	quietTime = 60 * time.Millisecond
+	// quietPeriod is how long there must be no pending work before the process ends.
+	quietPeriod = 60 * time.Millisecond
 	// shutdownCheckInterval is how often a server that drains looks whether it can end.
-	shutdownCheckInterval = quietTime / 4
+	shutdownCheckInterval = quietPeriod / 4
 )
 
 // A lifecycleState is the state of a server between its start and its end.
@@ -85,14 +85,14 @@
 	s.loop.Log.Infow("stopping", "open", s.calls.OpenCalls(), "standing", s.calls.EstablishedCalls())
 }
 
-// checkShutdown changes from draining to stopping once there is no pending work. It goes on accepting while set-ups may
+// checkDraining changes from draining to stopping once there is no pending work. It goes on accepting while set-ups may
 // still come, and does not wait for calls that may stay open until SIGKILL.
-func (s *Server) checkShutdown(now time.Duration) {
+func (s *Server) checkDraining(now time.Duration) {
 	l := &s.lifecycle
-	if l.state != stateDraining || now-l.drainingSince < lingerTime {
+	if l.state != stateDraining || now-l.drainingSince < minDrainTime {
 		return
 	}
-	if s.isOutOfTime(now) {
+	if s.isShutdownTimedOut(now) {
 		s.calls.RejectOpenCalls()
 	} else if s.hasPendingWork() {
 		l.quietSince = 0
@@ -101,15 +101,15 @@
 	if l.quietSince == 0 {
 		l.quietSince = now
 	}
-	if now-l.quietSince < quietTime { // what arrives now is still taken, and begins the wait anew
+	if now-l.quietSince < quietPeriod { // what arrives now is still taken, and begins the wait anew
 		return
 	}
 	l.state = stateStopping
 	s.loop.Execute(s.closeConnections)
 }
 
-// isOutOfTime reports whether SIGKILL is near: whatever is open, or arrives, is answered at once.
-func (s *Server) isOutOfTime(now time.Duration) bool {
+// isShutdownTimedOut reports whether SIGKILL is near: whatever is open, or arrives, is answered at once.
+func (s *Server) isShutdownTimedOut(now time.Duration) bool {
 	if s.lifecycle.state == stateRunning {
 		return false
 	}
@@ -119,7 +119,7 @@
 
 // isShuttingDown reports whether a set-up that arrives now would be open when the process ends.
 func (s *Server) isShuttingDown() bool {
-	return s.lifecycle.isEnding() || s.isOutOfTime(s.loop.Now())
+	return s.lifecycle.isEnding() || s.isShutdownTimedOut(s.loop.Now())
 }
 
 // hasPendingWork reports whether anybody waits for something that this process alone can bring: an answer that is not
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -112,7 +112,7 @@
 		bed.runIteration(func() { waits = bed.server.backends.Get("s-0").PendingReleases() == 1 })
 		return waits
 	})
-	if !bed.servesAfterLinger() {
+	if !bed.servesAfterMinDrainTime() {
 		t.Error("the server ended and took the release along")
 	}
 	close(gate.opened)
@@ -164,7 +164,7 @@
 			bed.server.loop.Flush()
 		}
 	})
-	if !bed.servesAfterLinger() {
+	if !bed.servesAfterMinDrainTime() {
 		t.Error("the server ended with answers in its buffer")
 	}
 	_ = c.SetReadDeadline(time.Now().Add(8 * time.Second))
@@ -188,7 +188,7 @@
 	bed.server.Stop()
 	eventually(t, "time is out", func() (out bool) {
 		bed.runIteration(func() {
-			if out = bed.server.isOutOfTime(bed.server.loop.Now()); out {
+			if out = bed.server.isShutdownTimedOut(bed.server.loop.Now()); out {
 				bed.findClient("").HandleData(jsonSetup(testCallID, 2*time.Second))
 			}
 		})
@@ -253,9 +253,9 @@
 					defer close(done)
 					var mine *eventloop.Conn
 					bed.server.loop.RunIteration(func() {
-						bed.server.lifecycle.drainingSince -= lingerTime
-						bed.server.lifecycle.quietSince = bed.server.loop.Now() - 2*quietTime
-						runInOrder(decision, func() { bed.server.checkShutdown(bed.server.loop.Now()) }, func() {
+						bed.server.lifecycle.drainingSince -= minDrainTime
+						bed.server.lifecycle.quietSince = bed.server.loop.Now() - 2*quietPeriod
+						runInOrder(decision, func() { bed.server.checkDraining(bed.server.loop.Now()) }, func() {
 							_, _ = c.Write(text[len(text)/2:])
 							p, k := bed.latestGateway(), bed.findClient("")
 							if mine = k.Conn(); p != nil {
@@ -313,7 +313,7 @@
 		bed.runIteration(func() { waits = bed.server.frontends.gateway.PendingNotifies() == 1 })
 		return waits
 	})
-	if !bed.servesAfterLinger() {
+	if !bed.servesAfterMinDrainTime() {
 		t.Fatal("the server ended and took the release along")
 	}
 	bed.dialGateway("<p>")
@@ -334,7 +334,7 @@
 	bed.server.Stop()
 	eventually(t, "time is out", func() (out bool) {
 		bed.runIteration(func() {
-			if out = bed.server.isOutOfTime(bed.server.loop.Now()); out {
+			if out = bed.server.isShutdownTimedOut(bed.server.loop.Now()); out {
 				bed.latestGateway().HandleData(frameTransactions(t, "<p>", addTransaction("p/200", 200, "1", 3*time.Second)))
 			}
 		})
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -214,14 +214,14 @@
 	return id
 }
 
-// servesAfterLinger begins a shutdown and reports whether the server still serves once it could have ended.
-func (b *testbed) servesAfterLinger() bool {
+// servesAfterMinDrainTime begins a shutdown and reports whether the server still serves once it could have ended.
+func (b *testbed) servesAfterMinDrainTime() bool {
 	b.t.Helper()
 	b.server.Stop()
 	eventually(b.t, "the linger is over", func() (over bool) {
 		over = !b.isServing()
 		b.runIteration(func() {
-			over = b.server.lifecycle.drainingSince > 0 && b.server.loop.Now()-b.server.lifecycle.drainingSince > lingerTime+2*quietTime
+			over = b.server.lifecycle.drainingSince > 0 && b.server.loop.Now()-b.server.lifecycle.drainingSince > minDrainTime+2*quietPeriod
 		})
 		return over
 	})
