--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -51,16 +51,16 @@
 // owns reports whether a socket is the current one.
 func (d *discoveryClient) owns(socket gnet.Conn) bool { return d.socket == socket }
 
-// move changes the address at once. Answers from the old one, which may be on their way, are not read any more.
-func (d *discoveryClient) move(address string) {
+// setAddress changes the address at once. Answers from the old one, which may be on their way, are not read any more.
+func (d *discoveryClient) setAddress(address string) {
 	d.address = address
 	d.silenceTimeout = 0
-	d.drop()
+	d.closeSocket()
 	d.open()
 }
 
-// drop closes the socket.
-func (d *discoveryClient) drop() {
+// closeSocket closes the socket.
+func (d *discoveryClient) closeSocket() {
 	d.serial++
 	d.isOpening = false
 	if socket := d.socket; socket != nil {
--- a/internal/server/late_connections.go
+++ b/internal/server/late_connections.go
@@ -72,7 +72,7 @@
 		late.isAccepting = false
 		s.listeners.close()
 		go func() {
-			s.listeners.await()
+			s.listeners.wait()
 			s.loop.ExecuteIteration(func() { late.readUntil = s.loop.Now() + lateReadTimeout })
 		}()
 	case late.readUntil == 0: // the queues of the listening sockets are being emptied
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -36,18 +36,18 @@
 	}
 	engine, err := gnet.NewClient(s, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLog{s.loop.Log}))
 	if err != nil {
-		s.listeners.abandon()
+		s.listeners.closeBeforeAccept()
 		return err
 	}
 	if err := engine.Start(); err != nil {
-		s.listeners.abandon()
+		s.listeners.closeBeforeAccept()
 		return err
 	}
 	s.listeners.accept(engine)
 	go s.connectToSelf()
 	<-s.lifecycle.ended
 	s.listeners.close()
-	s.listeners.await()
+	s.listeners.wait()
 	return engine.Stop()
 }
 
@@ -57,7 +57,7 @@
 // connectToSelf opens a first connection to this server itself. It brings the event loop, which gnet shows by a
 // connection only.
 func (s *Server) connectToSelf() {
-	c, err := net.DialTimeout("tcp", s.listeners.first(), s.cfg.DialTimeout)
+	c, err := net.DialTimeout("tcp", s.listeners.callerAddress(), s.cfg.DialTimeout)
 	if err != nil {
 		s.lifecycle.startError = fmt.Errorf("starting: %w", err)
 		close(s.lifecycle.ended)
@@ -144,7 +144,7 @@
 			s.loop.Log.Infow("reload_partial", "err", "name, listen, limits and settings change at a restart only")
 		}
 		if cfg.DiscoveryAddress != s.discovery.address {
-			s.discovery.move(cfg.DiscoveryAddress)
+			s.discovery.setAddress(cfg.DiscoveryAddress)
 			s.recorder.configured("names", cfg.DiscoveryAddress)
 		}
 	})
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -22,7 +22,7 @@
 // A listener is an address that the server listens on.
 type listener struct {
 	kind       listenerKind
-	configured string
+	configuredAddress string
 	acceptor   *acceptor.Acceptor // nil until open
 }
 
@@ -33,11 +33,11 @@
 }
 
 func newListeners(callers string, h *config.H248) *listeners {
-	l := &listeners{all: []*listener{{kind: jsonListener, configured: callers}}}
+	l := &listeners{all: []*listener{{kind: jsonListener, configuredAddress: callers}}}
 	if h != nil {
-		l.all = append(l.all, &listener{kind: gatewayListener, configured: h.Listen})
+		l.all = append(l.all, &listener{kind: gatewayListener, configuredAddress: h.Listen})
 		if h.Admin != "" {
-			l.all = append(l.all, &listener{kind: adminListener, configured: h.Admin})
+			l.all = append(l.all, &listener{kind: adminListener, configuredAddress: h.Admin})
 		}
 	}
 	return l
@@ -46,9 +46,9 @@
 // open opens the listening sockets; connections wait in their queues until accept. After an error none is open.
 func (l *listeners) open() error {
 	for _, each := range l.all {
-		a, err := acceptor.Listen(each.configured)
+		a, err := acceptor.Listen(each.configuredAddress)
 		if err != nil {
-			l.abandon()
+			l.closeBeforeAccept()
 			return err
 		}
 		each.acceptor = a
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// abandon closes the listening sockets that are open, before accept.
-func (l *listeners) abandon() {
+// closeBeforeAccept closes the listening sockets that are open, before accept.
+func (l *listeners) closeBeforeAccept() {
 	for _, each := range l.all {
 		if each.acceptor != nil {
 			each.acceptor.Close()
@@ -66,8 +66,8 @@
 	}
 }
 
-// first returns the address that the callers' listener has bound.
-func (l *listeners) first() string { return l.all[0].acceptor.Address() }
+// callerAddress returns the address that the callers' listener has bound.
+func (l *listeners) callerAddress() string { return l.all[0].acceptor.Address() }
 
 // accept hands the connections of all listeners to the client engine, on a goroutine for each listener. Each connection
 // is opened on the event loop before the next is accepted.
@@ -96,4 +96,4 @@
 	}
 }
 
-func (l *listeners) await() { l.accepting.Wait() }
+func (l *listeners) wait() { l.accepting.Wait() }
--- a/internal/server/testserver_test.go
+++ b/internal/server/testserver_test.go
@@ -25,7 +25,7 @@
 
 func (s *testServer) boundAddress(configured string) string {
 	for _, l := range s.server.listeners.all {
-		if l.configured == configured {
+		if l.configuredAddress == configured {
 			return l.acceptor.Address()
 		}
 	}
