--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -29,12 +29,12 @@
 	}
 	order, err := adminapi.ParseNumberingOrder(c)
 	if err == nil {
-		err = router.beginOrder(order, nil)
+		err = router.beginCommand(order, nil)
 	}
 	if err != nil {
 		return nil, &h248.Error{Code: h248.UnsupportedValue, Text: err.Error()}
 	}
-	return adminapi.NumberingNodes(nil, router.desk.Job()), nil
+	return adminapi.NumberingNodes(nil, router.versions.Job()), nil
 }
 
 // AuditNumbering implements gateway.Administrator.
@@ -43,7 +43,7 @@
 	if router == nil {
 		return nil, false
 	}
-	return adminapi.NumberingNodes(router.desk.List(), router.desk.Job()), true
+	return adminapi.NumberingNodes(router.versions.List(), router.versions.Job()), true
 }
 
 // AuditOverload implements gateway.Administrator.
--- a/internal/server/lookup_test.go
+++ b/internal/server/lookup_test.go
@@ -184,7 +184,7 @@
 	client.close()
 	eventually(t, "nothing is held", func() bool {
 		pins := make(chan int, 1)
-		s.server.loop.Execute(func() { pins <- s.server.numbering.desk.List()[0].Calls + s.server.calls.OpenCalls() })
+		s.server.loop.Execute(func() { pins <- s.server.numbering.versions.List()[0].Calls + s.server.calls.OpenCalls() })
 		return <-pins == 0
 	})
 	if said := answers.of(left); said != "" {
@@ -228,7 +228,7 @@
 		got := make(chan [2]int, 1)
 		r.node.server.loop.Execute(func() {
 			sum := 0
-			for _, v := range r.node.server.numbering.desk.List() {
+			for _, v := range r.node.server.numbering.versions.List() {
 				sum += v.Calls
 			}
 			got <- [2]int{sum, r.node.server.calls.OpenCalls()}
--- a/internal/server/numbering.go
+++ b/internal/server/numbering.go
@@ -33,7 +33,7 @@
 	server  *Server
 	file    string
 	classes []numbering.Class
-	desk    numbering.VersionManager
+	versions    numbering.VersionManager
 	store   *store.Store // nil: versions do not survive a restart
 	lookup  config.Lookup
 	client  *enum.Client // nil: no numbers are looked up
@@ -74,20 +74,20 @@
 // loadFile reads the table of the file and puts it in force.
 func (r *numberRouter) loadFile() error {
 	now := r.server.loop.Now
-	table, text, err := numbering.CompileFile(r.file, r.environment(now()))
+	table, text, err := numbering.CompileFile(r.file, r.deployment(now()))
 	if err != nil {
 		return err
 	}
 	if err := r.saveRules(table, text); err != nil {
 		return err
 	}
-	if err := r.desk.Load(now(), table); err != nil {
+	if err := r.versions.Load(now(), table); err != nil {
 		return err
 	}
-	if err := r.desk.Activate(now(), table.Digest(), "", 0); err != nil {
+	if err := r.versions.Activate(now(), table.Digest(), "", 0); err != nil {
 		return err
 	}
-	return r.saveState(r.desk.ActivationState())
+	return r.saveState(r.versions.ActivationState())
 }
 
 // restore restores the versions of before; false where there are none that are good. A torn or damaged state gives way
@@ -130,11 +130,11 @@
 			r.server.loop.Log.Errorw("numbers_damaged", "digest", digest, "err", err)
 		}
 	}
-	return r.desk.Restore(r.server.loop.Now(), state)
+	return r.versions.Restore(r.server.loop.Now(), state)
 }
 
-// environment is what rules are checked against, as of a time.
-func (r *numberRouter) environment(now time.Duration) numbering.Deployment {
+// deployment is what rules are checked against, as of a time.
+func (r *numberRouter) deployment(now time.Duration) numbering.Deployment {
 	return numbering.Deployment{Classes: r.classes, Now: now}
 }
 
@@ -144,14 +144,14 @@
 	if err != nil {
 		return err
 	}
-	table, err := numbering.CompileText(v.Data, r.environment(r.server.loop.Now()))
+	table, err := numbering.CompileText(v.Data, r.deployment(r.server.loop.Now()))
 	if err != nil {
 		return err
 	}
 	if table.Digest() != digest {
 		return fmt.Errorf("its digest is %s", table.Digest())
 	}
-	return r.desk.Load(r.server.loop.Now(), table)
+	return r.versions.Load(r.server.loop.Now(), table)
 }
 
 // saveRules stores the rules of a version, unless they are stored already.
@@ -177,7 +177,7 @@
 
 // logActive logs and records the table in force.
 func (r *numberRouter) logActive(reason string) {
-	table := r.desk.Active()
+	table := r.versions.Active()
 	r.server.loop.Log.Infow("numbers", "digest", table.Digest(), "version", table.Version,
 		"entries", table.PrefixCount(), "why", reason)
 	r.server.recorder.configuredTable("numbers", table.Digest(), table.Version)
@@ -185,7 +185,7 @@
 
 // tick puts in force what is due.
 func (r *numberRouter) tick(now time.Duration) {
-	if r != nil && r.desk.Tick(now) {
+	if r != nil && r.versions.Tick(now) {
 		r.logActive("due")
 	}
 }
@@ -203,7 +203,7 @@
 	if r == nil {
 		return nil
 	}
-	table := r.desk.Active()
+	table := r.versions.Active()
 	nodes = append(nodes, adminapi.TableNode(table.Digest(), table.Version))
 	if c, ok := r.lookups(); ok {
 		nodes = append(nodes, adminapi.LookupsNode(&c))
--- a/internal/server/numbering_order.go
+++ b/internal/server/numbering_order.go
@@ -9,15 +9,15 @@
 // maxStoredVersions bounds the versions of the table in the store.
 const maxStoredVersions = 32
 
-// beginOrder begins an operator's order on the table of numbers, on the loop. Its disk work is done beside the loop;
+// beginCommand begins an operator's order on the table of numbers, on the loop. Its disk work is done beside the loop;
 // then done, which may be nil, is called on the loop with how the order ended.
-func (r *numberRouter) beginOrder(o numbering.Command, done func(error)) error {
-	_, state, err := r.desk.Begin(r.server.loop.Now(), o)
+func (r *numberRouter) beginCommand(o numbering.Command, done func(error)) error {
+	_, state, err := r.versions.Begin(r.server.loop.Now(), o)
 	if err != nil {
 		return err
 	}
 	if o.Op == numbering.OpLoad {
-		environment := r.environment(r.server.loop.Now())
+		environment := r.deployment(r.server.loop.Now())
 		go r.loadVersion(o, environment, done)
 	} else {
 		go r.changeState(o, *state, done)
@@ -31,9 +31,9 @@
 	if err == nil {
 		err = r.saveRules(table, text)
 	}
-	r.finishOrder(o, done, func() error {
-		r.desk.FinishLoad(r.server.loop.Now(), table, err)
-		if reason := r.desk.Job().Error; reason != "" {
+	r.finishCommand(o, done, func() error {
+		r.versions.FinishLoad(r.server.loop.Now(), table, err)
+		if reason := r.versions.Job().Error; reason != "" {
 			return errors.New(reason)
 		}
 		return nil
@@ -46,18 +46,18 @@
 	if err == nil && r.store != nil {
 		r.deleteOldRules(state)
 	}
-	r.finishOrder(o, done, func() error {
-		before := r.desk.Active()
-		err := r.desk.Finish(r.server.loop.Now(), err)
-		if r.desk.Active() != before {
+	r.finishCommand(o, done, func() error {
+		before := r.versions.Active()
+		err := r.versions.Finish(r.server.loop.Now(), err)
+		if r.versions.Active() != before {
 			r.logActive(o.Op)
 		}
 		return err
 	})
 }
 
-// finishOrder ends an order on the loop. It may be called from anywhere.
-func (r *numberRouter) finishOrder(o numbering.Command, done func(error), finish func() error) {
+// finishCommand ends an order on the loop. It may be called from anywhere.
+func (r *numberRouter) finishCommand(o numbering.Command, done func(error), finish func() error) {
 	r.server.loop.ExecuteIteration(func() {
 		err := finish()
 		if err != nil {
@@ -101,7 +101,7 @@
 	}
 	s.loop.ExecuteIteration(func() {
 		load := numbering.Command{Op: numbering.OpLoad, File: r.file}
-		r.logReloadFailure(r.beginOrder(load, r.activateLoaded))
+		r.logReloadFailure(r.beginCommand(load, r.activateLoaded))
 	})
 }
 
@@ -113,10 +113,10 @@
 	}
 	activate := numbering.Command{
 		Op:             numbering.OpActivate,
-		Digest:         r.desk.Job().Digest,
-		ExpectedActive: r.desk.Active().Digest(),
+		Digest:         r.versions.Job().Digest,
+		ExpectedActive: r.versions.Active().Digest(),
 	}
-	r.logReloadFailure(r.beginOrder(activate, r.logReloadFailure))
+	r.logReloadFailure(r.beginCommand(activate, r.logReloadFailure))
 }
 
 func (r *numberRouter) logReloadFailure(err error) {
--- a/internal/server/numbering_route.go
+++ b/internal/server/numbering_route.go
@@ -10,15 +10,15 @@
 // Route implements call.Router.
 func (r *numberRouter) Route(now call.Time, q *call.Request) call.Route {
 	id := q.ID
-	pin := r.desk.Acquire()
-	table := pin.Table()
+	ref := r.versions.Acquire()
+	table := ref.Table()
 	query := numbering.Query{Number: q.Number, Class: q.Class, At: now, Seed: numbering.Seed(id)}
 	decision := table.Analyse(&query)
 	if decision.Verdict == numbering.LookUpRequired {
-		if r.startLookup(now, q, pin, query, &decision) {
+		if r.startLookup(now, q, ref, query, &decision) {
 			return call.Route{Pending: true, Table: table.Digest(), Close: func() {
 				r.client.Cancel(id)
-				pin.Release()
+				ref.Release()
 			}}
 		}
 		query.Ported.State = numbering.PortingUnknown
@@ -26,12 +26,12 @@
 	}
 	route := r.newRoute(&query, &decision)
 	route.Table = table.Digest()
-	route.Close = pin.Release
+	route.Close = ref.Release
 	return route
 }
 
 // startLookup looks a call's number up; false: it cannot be looked up, or not in time.
-func (r *numberRouter) startLookup(now call.Time, q *call.Request, pin *numbering.TableRef, query numbering.Query,
+func (r *numberRouter) startLookup(now call.Time, q *call.Request, ref *numbering.TableRef, query numbering.Query,
 	decision *numbering.Decision) bool {
 	wait := r.lookupBudget(q.Class).LookUpTime(q.Deadline - now)
 	if r.client == nil || wait <= 0 {
@@ -39,13 +39,13 @@
 	}
 	id := q.ID
 	return r.client.LookUp(id, decision.Number.String(), wait, func(result portability.Result) {
-		r.server.loop.ExecuteIteration(func() { r.resolve(id, pin, query, result) })
+		r.server.loop.ExecuteIteration(func() { r.resolve(id, ref, query, result) })
 	})
 }
 
 // resolve goes on with a call whose number was looked up, by the table that it began with.
-func (r *numberRouter) resolve(id string, pin *numbering.TableRef, query numbering.Query, result portability.Result) {
-	table := pin.Table()
+func (r *numberRouter) resolve(id string, ref *numbering.TableRef, query numbering.Query, result portability.Result) {
+	table := ref.Table()
 	if table == nil {
 		return // the call has ended meanwhile
 	}
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -72,7 +72,7 @@
 // versions returns the versions of the table that the server holds.
 func (r *tableRun) versions() []numbering.VersionStatus {
 	versions := make(chan []numbering.VersionStatus, 1)
-	r.server.loop.Execute(func() { versions <- r.server.numbering.desk.List() })
+	r.server.loop.Execute(func() { versions <- r.server.numbering.versions.List() })
 	return <-versions
 }
 
--- a/internal/server/replay_test.go
+++ b/internal/server/replay_test.go
@@ -80,7 +80,7 @@
 
 func (r *replayer) activeDigest() string {
 	got := make(chan string, 1)
-	r.node.server.loop.Execute(func() { got <- r.node.server.numbering.desk.Active().Digest() })
+	r.node.server.loop.Execute(func() { got <- r.node.server.numbering.versions.Active().Digest() })
 	return <-got
 }
 
