--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -18,7 +18,7 @@
 
 // RecordClock implements gateway.Administrator.
 func (a *administrator) RecordClock(peer string, stamps [4]int64) {
-	a.server.recorder.clock(peer, stamps)
+	a.server.recorder.recordClockStamps(peer, stamps)
 }
 
 // OrderNumbering implements gateway.Administrator. The reply names the order's job; an audit shows how that ends.
--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -186,7 +186,7 @@
 	servers := make([]admission.Server, 0, len(changed))
 	for _, e := range changed {
 		servers = append(servers, e.Server())
-		s.recorder.serverChanged(e.Server(), e.Address)
+		s.recorder.recordServer(e.Server(), e.Address)
 		s.loop.Log.Infow("exchange", "id", e.ID, "phase", e.Phase, "cell", e.Pool, "addr", e.Address,
 			"started", e.Started)
 	}
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -145,7 +145,7 @@
 		}
 		if cfg.DiscoveryAddress != s.discovery.address {
 			s.discovery.setAddress(cfg.DiscoveryAddress)
-			s.recorder.configured("names", cfg.DiscoveryAddress)
+			s.recorder.recordConfig("names", cfg.DiscoveryAddress)
 		}
 	})
 }
--- a/internal/server/numbering.go
+++ b/internal/server/numbering.go
@@ -180,7 +180,7 @@
 	table := r.versions.Active()
 	r.server.loop.Log.Infow("numbers", "digest", table.Digest(), "version", table.Version,
 		"entries", table.PrefixCount(), "why", reason)
-	r.server.recorder.configuredTable("numbers", table.Digest(), table.Version)
+	r.server.recorder.recordConfigVersion("numbers", table.Digest(), table.Version)
 }
 
 // tick puts in force what is due.
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -17,8 +17,8 @@
 const (
 	// checkInterval is the time between two looks at the limits that were met and at the clocks.
 	checkInterval = time.Second
-	// tallyInterval is the time between two records of the counters, which are also recorded at the end.
-	tallyInterval = 30 * time.Second
+	// countersInterval is the time between two records of the counters, which are also recorded at the end.
+	countersInterval = 30 * time.Second
 	// minClockDrift: a clock reading is recorded if it differs by more from the last.
 	minClockDrift = 2 * time.Millisecond
 	// closeTimeout is how long the disk may take at an orderly end for what is queued.
@@ -32,8 +32,8 @@
 	log        *record.Log
 	current    record.Record // the one at hand; Put keeps nothing of it
 	checkedAt  time.Duration
-	talliedAt  time.Duration
-	offset     time.Duration  // of the system's clock when it was last recorded
+	countersRecordedAt  time.Duration
+	lastClockOffset     time.Duration  // of the system's clock when it was last recorded
 	lastCounts map[string]int // counters of limits when they were last recorded
 }
 
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &recorder{server: s, log: log, lastCounts: make(map[string]int), offset: math.MaxInt64}
+	w := &recorder{server: s, log: log, lastCounts: make(map[string]int), lastClockOffset: math.MaxInt64}
 	s.loop.Log.Infow("records", "dir", o.Dir, "found", found.String())
 	r := w.begin(record.KindStart)
 	r.Flag = found.Clean
@@ -80,7 +80,7 @@
 // takes.
 func (w *recorder) recordSettings() {
 	settings := w.server.cfg.Settings
-	w.configured("settings", newSettingsRecord(settings))
+	w.recordConfig("settings", newSettingsRecord(settings))
 	for _, c := range settings.Classes {
 		r := w.begin(record.KindConfig)
 		r.By = "class"
@@ -105,14 +105,14 @@
 
 func (w *recorder) put() { w.log.Put(&w.current) }
 
-// configured records what is in force, with a digest of its text.
-func (w *recorder) configured(name string, v any) {
+// recordConfig records what is in force, with a digest of its text.
+func (w *recorder) recordConfig(name string, v any) {
 	text := fmt.Sprintf("%+v", v)
-	w.configuredTable(name, fmt.Sprintf("%016x", xxhash.Sum64String(text)), text)
+	w.recordConfigVersion(name, fmt.Sprintf("%016x", xxhash.Sum64String(text)), text)
 }
 
-// configuredTable records what is in force and has a digest of its own.
-func (w *recorder) configuredTable(name, digest, text string) {
+// recordConfigVersion records what is in force and has a digest of its own.
+func (w *recorder) recordConfigVersion(name, digest, text string) {
 	if w == nil {
 		return
 	}
@@ -134,8 +134,8 @@
 	w.put()
 }
 
-// note records a message of the admission control.
-func (w *recorder) note(text string) {
+// recordNote records a message of the admission control.
+func (w *recorder) recordNote(text string) {
 	if w == nil {
 		return
 	}
@@ -143,8 +143,8 @@
 	w.put()
 }
 
-// serverChanged records the state of an exchange.
-func (w *recorder) serverChanged(server admission.Server, address string) {
+// recordServer records the state of an exchange.
+func (w *recorder) recordServer(server admission.Server, address string) {
 	if w == nil {
 		return
 	}
@@ -165,8 +165,8 @@
 	w.put()
 }
 
-// stopping records that a shutdown was asked for.
-func (w *recorder) stopping() {
+// recordStopping records that a shutdown was asked for.
+func (w *recorder) recordStopping() {
 	if w == nil {
 		return
 	}
@@ -188,19 +188,19 @@
 	w.recordLimit("malformed", w.server.malformed.count)
 	w.recordLimit("bad_news", w.server.discovery.counters.invalidAnswers)
 	w.recordClockOffset(now)
-	if now-w.talliedAt >= tallyInterval {
-		w.talliedAt = now
-		w.tally()
+	if now-w.countersRecordedAt >= countersInterval {
+		w.countersRecordedAt = now
+		w.recordCounters()
 	}
 }
 
 // recordClockOffset records how far the system's clock is from the loop's, if that has changed.
 func (w *recorder) recordClockOffset(now time.Duration) {
 	offset := w.server.loop.SystemTime() - now
-	if offset-w.offset <= minClockDrift && w.offset-offset <= minClockDrift {
+	if offset-w.lastClockOffset <= minClockDrift && w.lastClockOffset-offset <= minClockDrift {
 		return
 	}
-	w.offset = offset
+	w.lastClockOffset = offset
 	r := w.begin(record.KindClock)
 	r.T[0] = int64(now + offset)
 	r.T[1] = int64(now)
@@ -218,8 +218,8 @@
 	w.lastCounts[name] = count
 }
 
-// tally records the counters of calls, by which an analysis can be checked.
-func (w *recorder) tally() {
+// recordCounters records the counters of calls, by which an analysis can be checked.
+func (w *recorder) recordCounters() {
 	c := &w.server.calls.Counters
 	for _, counter := range [...]struct {
 		name  string
@@ -245,8 +245,8 @@
 	}
 }
 
-// clock records an exchange of time stamps with a peer.
-func (w *recorder) clock(peer string, stamps [4]int64) {
+// recordClockStamps records an exchange of time stamps with a peer.
+func (w *recorder) recordClockStamps(peer string, stamps [4]int64) {
 	if w == nil {
 		return
 	}
@@ -262,7 +262,7 @@
 		return
 	}
 	log := w.server.loop.Log
-	w.tally()
+	w.recordCounters()
 	w.begin(record.KindEnd).Count = w.log.Records()
 	w.put()
 	if err := w.log.Close(closeTimeout); err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -145,7 +145,7 @@
 func (s *Server) newAdmission() (*admission.Engine, error) {
 	return admission.NewEngine(s.loop.Now(), s.cfg.Settings, s.cfg.Seed, func(line string) {
 		s.loop.Log.Infow("module", "text", line)
-		s.recorder.note(line)
+		s.recorder.recordNote(line)
 	})
 }
 
@@ -159,7 +159,7 @@
 
 // addOptionalParts adds what the operator's file asks for.
 func (s *Server) addOptionalParts(o Options, engine *admission.Engine) error {
-	if err := s.observe(o, engine); err != nil {
+	if err := s.addObservers(o, engine); err != nil {
 		return err
 	}
 	if o.Numbering != nil {
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// observe adds the observers of calls: the recorder, and the metrics where there is an admin address.
-func (s *Server) observe(o Options, engine *admission.Engine) error {
+// addObservers adds the observers of calls: the recorder, and the metrics where there is an admin address.
+func (s *Server) addObservers(o Options, engine *admission.Engine) error {
 	var observer call.Observer
 	if o.Records != nil {
 		r, err := newRecorder(s, o.Records, o.Program)
@@ -225,11 +225,11 @@
 		s.frontends.gateway = gateway.New(host, &administrator{s}, maxClients)
 	}
 	s.frontends.json = jsonclient.New(host, maxClients)
-	var notified []call.Frontend
+	var callFrontends []call.Frontend
 	for _, f := range s.frontends.all() {
-		notified = append(notified, f)
+		callFrontends = append(callFrontends, f)
 	}
-	s.backends.Attach(s.calls, notified...)
+	s.backends.Attach(s.calls, callFrontends...)
 }
 
 // addBackends adds the exchanges that are known from the configuration.
@@ -240,7 +240,7 @@
 	servers := make([]admission.Server, 0, len(known))
 	for _, e := range known {
 		servers = append(servers, e.Server())
-		s.recorder.serverChanged(e.Server(), e.Address)
+		s.recorder.recordServer(e.Server(), e.Address)
 		s.backends.AddEndpoint(e)
 	}
 	if s.h248 != nil {
@@ -250,7 +250,7 @@
 			}
 			server := admission.Server{ID: h.ID, Pool: h.Pool}
 			servers = append(servers, server)
-			s.recorder.serverChanged(server, h.Address)
+			s.recorder.recordServer(server, h.Address)
 		}
 	}
 	s.calls.UpdateServers(servers, true)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -81,7 +81,7 @@
 	}
 	s.lifecycle.state = stateDraining
 	s.lifecycle.drainingSince = s.loop.Now()
-	s.recorder.stopping()
+	s.recorder.recordStopping()
 	s.loop.Log.Infow("stopping", "open", s.calls.OpenCalls(), "standing", s.calls.EstablishedCalls())
 }
 
