--- a/internal/server/lookup_test.go
+++ b/internal/server/lookup_test.go
@@ -21,12 +21,12 @@
 
 // Modes of an enumServer.
 const (
-	good     = iota
-	silent   // it answers nothing
-	slow     // it takes 5 to 60 ms
-	sluggish // it takes longer than anybody waits
-	flapping // it is silent every other 50 ms
-	lying    // to another question, with another id, cut short, with a response code, or no DNS at all
+	enumGood     = iota
+	enumSilent   // it answers nothing
+	enumSlow     // it takes 5 to 60 ms
+	enumTooSlow // it takes longer than anybody waits
+	enumFlapping // it is silent every other 50 ms
+	enumInvalid    // to another question, with another id, cut short, with a response code, or no DNS at all
 )
 
 // enumServer is an ENUM server; its answers say where numbers have been ported to.
@@ -34,7 +34,7 @@
 	addr    string
 	mode    atomic.Int32
 	queries atomic.Int64
-	moves   func(number string) string // "": it stays
+	portedTo   func(number string) string // "": it stays
 }
 
 func startENUM(t testing.TB) *enumServer {
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	s := &enumServer{addr: c.LocalAddr().String(), moves: func(string) string { return "57" }}
+	s := &enumServer{addr: c.LocalAddr().String(), portedTo: func(string) string { return "57" }}
 	go func() {
 		buf := make([]byte, 2048)
 		rng := rand.New(rand.NewPCG(41, 42))
@@ -57,14 +57,14 @@
 			s.queries.Add(1)
 			mode, wait := s.mode.Load(), time.Duration(0)
 			switch {
-			case mode == silent, mode == flapping && time.Since(began)/(50*time.Millisecond)%2 == 1:
+			case mode == enumSilent, mode == enumFlapping && time.Since(began)/(50*time.Millisecond)%2 == 1:
 				continue
-			case mode == slow:
+			case mode == enumSlow:
 				wait = 5*time.Millisecond + rand.N(55*time.Millisecond)
-			case mode == sluggish:
+			case mode == enumTooSlow:
 				wait = 700 * time.Millisecond
 			}
-			b := s.answer(buf[:n], mode == lying, rng)
+			b := s.answer(buf[:n], mode == enumInvalid, rng)
 			time.AfterFunc(wait, func() { _, _ = c.WriteTo(b, from) })
 		}
 	}()
@@ -78,7 +78,7 @@
 	}
 	name := q.Question[0].Name
 	m.SetReply(&q)
-	if to := s.moves(numberOf(name)); to == "" {
+	if to := s.portedTo(numberOf(name)); to == "" {
 		m.Rcode = dns.RcodeNameError
 	} else if rr, err := dns.NewRR(name + ` 60 IN NAPTR 1 1 "u" "E2U+pstn:tel" "!^.*$!tel:+1;rn=+` + to + `!" .`); err == nil {
 		m.Answer = []dns.RR{rr}
@@ -116,9 +116,9 @@
 	return string(digits)
 }
 
-// movedTo returns where numbers of the replay have been ported to: those with an even digit in their middle to another
+// portedNumber returns where numbers of the replay have been ported to: those with an even digit in their middle to another
 // first digit.
-func movedTo(number string) string {
+func portedNumber(number string) string {
 	if len(number) != 7 || number[3]%2 == 1 {
 		return ""
 	}
@@ -160,7 +160,7 @@
 	if at(0) != 0 || look.queries.Load() != 2 {
 		t.Errorf("%d went where the numbers were, %d look-ups", at(0), look.queries.Load())
 	}
-	look.mode.Store(silent)
+	look.mode.Store(enumSilent)
 	began := time.Now()
 	for i, k := range callers {
 		number := fmt.Sprint("562", i)
@@ -196,10 +196,10 @@
 	}
 }
 
-// lookupRun makes so many calls to numbers that are all looked up, at a rate a second and on both frontends, with a
+// runLookups makes so many calls to numbers that are all looked up, at a rate a second and on both frontends, with a
 // server in some mode, and checks that each is answered in time and that nothing is held when they have ended. It
 // returns by how much the memory in use has grown, callers and exchanges included.
-func lookupRun(t testing.TB, mode int32, fallback string, n int, rate float64) int64 {
+func runLookups(t testing.TB, mode int32, fallback string, n int, rate float64) int64 {
 	look := startENUM(t)
 	look.mode.Store(mode)
 	r := startReplay(t, config.Lookup{Servers: []string{look.addr}, Fallback: fallback})
@@ -246,7 +246,7 @@
 	k := &r.node.server.calls.Counters
 	t.Logf("mode %d, %s: %d calls, %d stood, %d turned away; answered after p50 %v us, p99 %v us, at most %v us; look-ups %+v; memory grew by %d KiB",
 		mode, fallback, n, k.Established, k.ByPolicy+k.Rejected, took.ValueAtQuantile(50), took.ValueAtQuantile(99), took.Max(), c, grown>>10)
-	if (k.Established == n) != (fallback == config.FallbackRoute || mode == good) {
+	if (k.Established == n) != (fallback == config.FallbackRoute || mode == enumGood) {
 		t.Errorf("mode %d, %s: %d of %d stood", mode, fallback, k.Established, n)
 	}
 	if n := r.fleet.observations.total(&r.fleet.observations.simultaneousAttempts) + r.fleet.observations.total(&r.fleet.observations.earlyRetries); n != 0 {
@@ -258,15 +258,15 @@
 // Whatever an ENUM server does, each call gets its one answer before its caller gives up.
 func TestLookupServersThatFail(t *testing.T) {
 	t.Parallel()
-	for _, mode := range []int32{silent, sluggish, flapping, lying} {
+	for _, mode := range []int32{enumSilent, enumTooSlow, enumFlapping, enumInvalid} {
 		t.Run(fmt.Sprint("mode ", mode), func(t *testing.T) {
 			t.Parallel()
-			lookupRun(t, mode, config.FallbackRoute, 200, 200)
+			runLookups(t, mode, config.FallbackRoute, 200, 200)
 		})
 	}
 	t.Run("refuse", func(t *testing.T) {
 		t.Parallel()
-		lookupRun(t, silent, config.FallbackRefuse, 100, 200)
+		runLookups(t, enumSilent, config.FallbackRefuse, 100, 200)
 	})
 }
 
@@ -275,9 +275,9 @@
 // go test -run '^$' -bench SilentLookups -benchtime 1x -timeout 10m ./internal/server
 func BenchmarkSilentLookups(b *testing.B) {
 	for range b.N {
-		answers := lookupRun(b, good, config.FallbackRoute, 12_000, 200)
-		nothing := lookupRun(b, silent, config.FallbackRoute, 12_000, 200)
-		refused := lookupRun(b, silent, config.FallbackRefuse, 12_000, 200)
+		answers := runLookups(b, enumGood, config.FallbackRoute, 12_000, 200)
+		nothing := runLookups(b, enumSilent, config.FallbackRoute, 12_000, 200)
+		refused := runLookups(b, enumSilent, config.FallbackRefuse, 12_000, 200)
 		if worst := max(nothing, refused); worst > answers+1<<20 {
 			b.Errorf("it grew by %d KiB in a minute of silence, by %d with answers", worst>>10, answers>>10)
 		}
--- a/internal/server/replay_test.go
+++ b/internal/server/replay_test.go
@@ -165,7 +165,7 @@
 			}
 			want := rules.Decide(k.number, k.class, time.Unix(0, int64(k.at)))
 			outcome := record.Outcome(rec.Code).String()
-			if to := movedTo(k.number); to != "" {
+			if to := portedNumber(k.number); to != "" {
 				there := rules.DecidePorted(k.number, to, k.class, time.Unix(0, int64(k.at)))
 				// Counted only where it cannot have gone as it is.
 				if !want.AllowsOrder(k.pools) && there.Cause == 0 {
@@ -229,8 +229,8 @@
 func TestReplayWithLookups(t *testing.T) {
 	t.Parallel()
 	look := startENUM(t)
-	look.moves = movedTo
-	look.mode.Store(slow)
+	look.portedTo = portedNumber
+	look.mode.Store(enumSlow)
 	replay(t, 1000, 32, 0, 50*time.Millisecond, config.Lookup{Servers: []string{look.addr}})
 }
 
--- a/internal/server/simulated_exchange_test.go
+++ b/internal/server/simulated_exchange_test.go
@@ -19,12 +19,12 @@
 	behaveOK     behavior = "ok"     // the call is established, and released by the exchange
 	behaveKeep   behavior = "keep"   // the call is established
 	behaveBusy   behavior = "busy"   // rejected at each attempt: the number is busy
-	behaveFull   behavior = "full"   // rejected at the first attempt: the exchange is overloaded
-	behaveMoot   behavior = "moot"   // rejected at the first attempt: the call was not forwarded
-	behaveReset  behavior = "reset"  // rejected at the first attempt, which may have run
+	behaveOverloaded   behavior = "full"   // rejected at the first attempt: the exchange is overloaded
+	behaveNotForwarded   behavior = "moot"   // rejected at the first attempt: the call was not forwarded
+	behaveTemporaryFailure  behavior = "reset"  // rejected at the first attempt, which may have run
 	behaveSilent behavior = "silent" // not answered
-	behaveHalf   behavior = "half"   // the answer stops within the message, and the connection brings nothing more
-	behaveMute   behavior = "mute"   // the connection stays open and brings nothing more
+	behavePartialAnswer   behavior = "half"   // the answer stops within the message, and the connection brings nothing more
+	behaveUnresponsive   behavior = "mute"   // the connection stays open and brings nothing more
 )
 
 // establishes reports whether the nth attempt is established: those that are rejected once are at the second.
@@ -107,9 +107,9 @@
 	case '5':
 		return behaveBusy
 	case '6', '7':
-		return []behavior{behaveFull, behaveOK}[min(nth, 2)-1]
+		return []behavior{behaveOverloaded, behaveOK}[min(nth, 2)-1]
 	case '8':
-		return []behavior{behaveMoot, behaveFull, behaveOK}[min(nth, 3)-1]
+		return []behavior{behaveNotForwarded, behaveOverloaded, behaveOK}[min(nth, 3)-1]
 	case '9':
 		return []behavior{behaveSilent, behaveOK}[min(nth, 2)-1]
 	}
--- a/internal/server/simulated_h248_test.go
+++ b/internal/server/simulated_h248_test.go
@@ -131,11 +131,11 @@
 	switch b {
 	case behaveBusy:
 		code = h248.TerminationInContext
-	case behaveFull:
+	case behaveOverloaded:
 		code = h248.InsufficientResources
-	case behaveMoot:
+	case behaveNotForwarded:
 		code = h248.NotReady
-	case behaveReset:
+	case behaveTemporaryFailure:
 		code = h248.TemporaryFailure
 	default:
 		return
--- a/internal/server/simulated_sip_test.go
+++ b/internal/server/simulated_sip_test.go
@@ -97,11 +97,11 @@
 	}
 	switch {
 	case s.exchange.answersNothing:
-	case b == behaveHalf:
+	case b == behavePartialAnswer:
 		const partial = "SIP/2.0 200 OK\r\nCall-ID: %s\r\nCSeq: %d INVITE\r\nContent-Length: 3000000000\r\n"
 		s.send(fmt.Appendf(nil, partial, m.CallID, m.CSeq))
 		s.isMute = true
-	case b == behaveMute:
+	case b == behaveUnresponsive:
 		s.isMute = true
 	case establishes:
 		s.establish(m, number, b == behaveOK)
@@ -137,16 +137,16 @@
 	switch b {
 	case behaveBusy:
 		status, diagnosis = 486, "number_busy"
-	case behaveFull:
+	case behaveOverloaded:
 		status, diagnosis = 503, "cpu_full"
-	case behaveMoot:
+	case behaveNotForwarded:
 		status = 480
-	case behaveReset:
+	case behaveTemporaryFailure:
 		status = 504
 	default:
 		return
 	}
-	s.exchange.observations.endAttempt(m.CallID, b == behaveReset)
+	s.exchange.observations.endAttempt(m.CallID, b == behaveTemporaryFailure)
 	delete(s.openCalls, m.CallID)
 	s.respond(m, status, []sip.Header{{Name: "X-Diagnosis", Value: diagnosis}}, nil)
 }
