--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -46,7 +46,7 @@
 	answers := newAnswerLog()
 	panel := dialGatewayCaller(t, s.gatewayAddress(), answers, "<one>")
 	panel.acknowledges = true
-	l := newLoad(answers, 5*time.Second, 4096, dialJSONCaller(t, s.jsonAddress(), answers, "aaaaaaaa"), panel)
+	l := newLoadGenerator(answers, 5*time.Second, 4096, dialJSONCaller(t, s.jsonAddress(), answers, "aaaaaaaa"), panel)
 	l.run(calls, 1000, func(int) string { return "1230" })
 	took := l.awaitEnds(t)
 	s.stop(t)
--- a/internal/server/load_test.go
+++ b/internal/server/load_test.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A load sets calls up on several callers and records when each gets its first answer and its end.
-type load struct {
+// A loadGenerator sets calls up on several callers and records when each gets its first answer and its end.
+type loadGenerator struct {
 	answers *answerLog
 	callers []testCaller
 	timeout time.Duration // the callers' time
@@ -24,14 +24,14 @@
 	number          map[string]string
 }
 
-func newLoad(answers *answerLog, left time.Duration, open int, callers ...testCaller) *load {
-	l := &load{answers: answers, callers: callers, timeout: left, slots: make(chan struct{}, open), sentAt: make(map[string]time.Time),
+func newLoadGenerator(answers *answerLog, left time.Duration, open int, callers ...testCaller) *loadGenerator {
+	l := &loadGenerator{answers: answers, callers: callers, timeout: left, slots: make(chan struct{}, open), sentAt: make(map[string]time.Time),
 		answeredAt: make(map[string]time.Time), ended: make(map[string]bool), number: make(map[string]string)}
 	answers.onAnswer = l.recordAnswer
 	return l
 }
 
-func (l *load) recordAnswer(key, what string) {
+func (l *loadGenerator) recordAnswer(key, what string) {
 	if strings.HasSuffix(key, "/pending") || strings.HasPrefix(what, "done") {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // run sets so many calls up, at a rate a second or, at 0, as fast as they end.
-func (l *load) run(n int, rate float64, number func(i int) string) {
+func (l *loadGenerator) run(n int, rate float64, number func(i int) string) {
 	began := time.Now()
 	for i := range n {
 		at := time.Now()
@@ -70,7 +70,7 @@
 
 // awaitEnds waits until all calls have ended; each must have its first answer in time. It returns how long that took
 // for those whose first attempt is established.
-func (l *load) awaitEnds(t testing.TB) *hdrhistogram.Histogram {
+func (l *loadGenerator) awaitEnds(t testing.TB) *hdrhistogram.Histogram {
 	t.Helper()
 	open := func() int {
 		l.mu.Lock()
--- a/internal/server/lookup_test.go
+++ b/internal/server/lookup_test.go
@@ -220,7 +220,7 @@
 		return int64(mem.HeapAlloc)
 	}
 	before := inUse()
-	l := newLoad(r.answers, 5*time.Second, 4096, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), dialGatewayCaller(t, r.node.gatewayAddress(), r.answers, "<one>"))
+	l := newLoadGenerator(r.answers, 5*time.Second, 4096, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), dialGatewayCaller(t, r.node.gatewayAddress(), r.answers, "<one>"))
 	l.run(n, rate, func(i int) string { return fmt.Sprintf("56%06d0", i) })
 	took := l.awaitEnds(t)
 	var pins, waits int
--- a/internal/server/protocols_test.go
+++ b/internal/server/protocols_test.go
@@ -12,16 +12,16 @@
 
 // callResults are the outcomes of one run of calls.
 type callResults struct {
-	Heard                   map[string]string
+	Answers                   map[string]string
 	Attempts                map[string]int
-	Copies, Early, Tampered int
-	GaveUp, Released        int
+	SimultaneousAttempts, EarlyRetries, Corrupted int
+	Canceled, Released        int
 }
 
 // runCalls makes the same calls in either protocol, one after the other.
 func runCalls(t *testing.T, server *testServer, dial func(name string) testCaller, answers *answerLog) callResults {
 	t.Helper()
-	p := callResults{Heard: make(map[string]string), Attempts: make(map[string]int)}
+	p := callResults{Answers: make(map[string]string), Attempts: make(map[string]int)}
 	k, other := dial("aaaaaaaa"), dial("bbbbbbbb")
 	gone := k.setUp("silent.2", 5*time.Second)
 	eventually(t, "the set-up is at a server", func() bool { return server.observations.attemptsTo("silent.2") == 1 })
@@ -42,7 +42,7 @@
 		if kind == "ok" {
 			said = answers.await(t, key, 2)
 		}
-		p.Heard[kind] = strings.ReplaceAll(said, acceptedDescription(number), "")
+		p.Answers[kind] = strings.ReplaceAll(said, acceptedDescription(number), "")
 		if strings.Contains(said, "stands") {
 			k.hangUp(key)
 		}
@@ -50,14 +50,14 @@
 		time.Sleep(30 * time.Millisecond) // let the release pass before the next call
 	}
 	silent := k.setUp("silent.1", 400*time.Millisecond)
-	p.Heard["silent"] = answers.await(t, silent, 1)
+	p.Answers["silent"] = answers.await(t, silent, 1)
 	p.Attempts["silent"] = server.observations.attemptsTo("silent.1")
 	eventually(t, "the set-up that timed out is given up", func() bool { return server.observations.total(&server.observations.canceled) == 3 })
 	for end := time.Now().Add(2 * time.Second); server.observations.total(&server.observations.released) < 3 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.Copies, p.Early, p.Tampered = server.observations.total(&server.observations.simultaneousAttempts), server.observations.total(&server.observations.earlyRetries), server.observations.total(&server.observations.corrupted)
-	p.GaveUp, p.Released = server.observations.total(&server.observations.canceled), server.observations.total(&server.observations.released)
+	p.SimultaneousAttempts, p.EarlyRetries, p.Corrupted = server.observations.total(&server.observations.simultaneousAttempts), server.observations.total(&server.observations.earlyRetries), server.observations.total(&server.observations.corrupted)
+	p.Canceled, p.Released = server.observations.total(&server.observations.canceled), server.observations.total(&server.observations.released)
 	return p
 }
 
@@ -66,10 +66,10 @@
 func TestBothProtocolsBehaveAlike(t *testing.T) {
 	t.Parallel()
 	want := callResults{
-		Heard: map[string]string{"ok": "stands  end 16", "keep": "stands ", "moot": "stands ", "reset": "stands ",
+		Answers: map[string]string{"ok": "stands  end 16", "keep": "stands ", "moot": "stands ", "reset": "stands ",
 			"busy": "end 41", "silent": "end 41"},
 		Attempts: map[string]int{"ok": 1, "keep": 1, "moot": 2, "reset": 2, "busy": 1, "silent": 1},
-		GaveUp:   3, Released: 3,
+		Canceled:   3, Released: 3,
 	}
 	for _, back := range []bool{false, true} {
 		for _, front := range []bool{false, true} {
--- a/internal/server/random_crossings_test.go
+++ b/internal/server/random_crossings_test.go
@@ -113,8 +113,8 @@
 	return all[rng.IntN(len(all))], true
 }
 
-// caller does the callers' part of a step, within an iteration.
-func (c *randomRun) caller() {
+// stepCaller does the callers' part of a step, within an iteration.
+func (c *randomRun) stepCaller() {
 	switch i := c.rng.IntN(len(c.callers)); c.rng.IntN(5) {
 	case 0, 1, 2:
 		c.lastCall++
@@ -214,7 +214,7 @@
 		bed.runIteration(func() {
 			for range 1 + rng.IntN(3) {
 				if rng.IntN(2) == 0 {
-					c.caller()
+					c.stepCaller()
 				} else {
 					c.stepExchange()
 				}
--- a/internal/server/replay_test.go
+++ b/internal/server/replay_test.go
@@ -17,8 +17,8 @@
 	"olivedale/internal/record"
 )
 
-// A replayer is a server with exchanges for a dozen pools, whose table of numbers changes all the time.
-type replayer struct {
+// A replayRun is a server with exchanges for a dozen pools, whose table of numbers changes all the time.
+type replayRun struct {
 	fleet   *fleet
 	decider *unlimitedDecider
 	node    *testServer
@@ -35,9 +35,9 @@
 
 const replayPools = 12
 
-func startReplay(t testing.TB, lookup config.Lookup) *replayer {
+func startReplay(t testing.TB, lookup config.Lookup) *replayRun {
 	t.Helper()
-	r := &replayer{fleet: startFleet(t, replayPools), answers: newAnswerLog(), dir: t.TempDir(), file: filepath.Join(t.TempDir(), "numbers.toml"),
+	r := &replayRun{fleet: startFleet(t, replayPools), answers: newAnswerLog(), dir: t.TempDir(), file: filepath.Join(t.TempDir(), "numbers.toml"),
 		rules: make(map[string]*numberingtest.Rules), stop: make(chan struct{}), done: make(chan struct{})}
 	r.fleet.recordQueue = 16 << 20
 	r.fleet.pools = "[[0,1,2,3,4,5,6,7,8,9,10,11]]"
@@ -71,21 +71,21 @@
 	return r
 }
 
-func (r *replayer) writeTable(t testing.TB, n int) {
+func (r *replayRun) writeTable(t testing.TB, n int) {
 	t.Helper()
 	if err := os.WriteFile(r.file, r.texts[n], 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (r *replayer) activeDigest() string {
+func (r *replayRun) activeDigest() string {
 	got := make(chan string, 1)
 	r.node.server.loop.Execute(func() { got <- r.node.server.numbering.versions.Active().Digest() })
 	return <-got
 }
 
 // swapTables puts another table in force at an interval until stop is closed.
-func (r *replayer) swapTables(t testing.TB, every time.Duration) {
+func (r *replayRun) swapTables(t testing.TB, every time.Duration) {
 	defer close(r.done)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -113,7 +113,7 @@
 // and was looked up the answer may have come in time or not: the call goes where the number was ported to, or as it
 // is. It returns how many calls there are, how many attempts were made when another table was in force already, and
 // how many calls can have gone where their number was ported to.
-func (r *replayer) check(t testing.TB) (calls, across, moved int) {
+func (r *replayRun) check(t testing.TB) (calls, across, moved int) {
 	t.Helper()
 	in, err := record.OpenDir(r.dir)
 	if err != nil {
@@ -194,7 +194,7 @@
 	r := startReplay(t, look)
 	panel := dialGatewayCaller(t, r.node.gatewayAddress(), r.answers, "<one>")
 	panel.acknowledges = true // replies that are not acknowledged are kept for 30 s, within a bound
-	l := newLoad(r.answers, 20*time.Second, open, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), panel)
+	l := newLoadGenerator(r.answers, 20*time.Second, open, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), panel)
 	rng := rand.New(rand.NewPCG(31, 32))
 	if every > 0 {
 		go r.swapTables(t, every)
