--- a/internal/server/late_connections.go
+++ b/internal/server/late_connections.go
@@ -11,7 +11,7 @@
 	// latePollInterval is the time between two looks for connections; after lateQuietLooks in a row without any nobody
 	// is there any more. Looks are counted, not time: a process that gets no processor has not looked.
 	latePollInterval = 5 * time.Millisecond
-	lateIdlePolls   = 12
+	lateIdlePolls    = 12
 	// lateAcceptTimeout bounds how long connections are accepted: SIGKILL may be near.
 	lateAcceptTimeout = 200 * time.Millisecond
 	// lateReadTimeout bounds the wait for the set-ups of connections that were accepted.
@@ -23,7 +23,7 @@
 // process. So connections are accepted for a while longer, and their set-ups rejected.
 type lateConnections struct {
 	acceptUntil time.Duration
-	idlePolls  int   // looks in a row without a new connection
+	idlePolls   int   // looks in a row without a new connection
 	accepted    int64 // connections at the latest look
 	isAccepting bool
 	readUntil   time.Duration // set once accepting has ended
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -21,9 +21,9 @@
 
 // A listener is an address that the server listens on.
 type listener struct {
-	kind       listenerKind
+	kind              listenerKind
 	configuredAddress string
-	acceptor   *acceptor.Acceptor // nil until open
+	acceptor          *acceptor.Acceptor // nil until open
 }
 
 // listeners are the addresses that the server listens on, the callers' first.
--- a/internal/server/lookup_test.go
+++ b/internal/server/lookup_test.go
@@ -24,17 +24,17 @@
 	enumGood     = iota
 	enumSilent   // it answers nothing
 	enumSlow     // it takes 5 to 60 ms
-	enumTooSlow // it takes longer than anybody waits
+	enumTooSlow  // it takes longer than anybody waits
 	enumFlapping // it is silent every other 50 ms
-	enumInvalid    // to another question, with another id, cut short, with a response code, or no DNS at all
+	enumInvalid  // to another question, with another id, cut short, with a response code, or no DNS at all
 )
 
 // enumServer is an ENUM server; its answers say where numbers have been ported to.
 type enumServer struct {
-	addr    string
-	mode    atomic.Int32
-	queries atomic.Int64
-	portedTo   func(number string) string // "": it stays
+	addr     string
+	mode     atomic.Int32
+	queries  atomic.Int64
+	portedTo func(number string) string // "": it stays
 }
 
 func startENUM(t testing.TB) *enumServer {
--- a/internal/server/numbering.go
+++ b/internal/server/numbering.go
@@ -30,13 +30,13 @@
 // A numberRouter routes calls by the table of numbers in force. The desk belongs to the loop; tables are read,
 // compiled and saved elsewhere, one order at a time, and handed in complete. The nil *numberRouter is off.
 type numberRouter struct {
-	server  *Server
-	file    string
-	classes []numbering.Class
-	versions    numbering.VersionManager
-	store   *store.Store // nil: versions do not survive a restart
-	lookup  config.Lookup
-	client  *enum.Client // nil: no numbers are looked up
+	server   *Server
+	file     string
+	classes  []numbering.Class
+	versions numbering.VersionManager
+	store    *store.Store // nil: versions do not survive a restart
+	lookup   config.Lookup
+	client   *enum.Client // nil: no numbers are looked up
 }
 
 var _ call.Router = (*numberRouter)(nil)
--- a/internal/server/protocols_test.go
+++ b/internal/server/protocols_test.go
@@ -12,10 +12,10 @@
 
 // callResults are the outcomes of one run of calls.
 type callResults struct {
-	Answers                   map[string]string
-	Attempts                map[string]int
+	Answers                                       map[string]string
+	Attempts                                      map[string]int
 	SimultaneousAttempts, EarlyRetries, Corrupted int
-	Canceled, Released        int
+	Canceled, Released                            int
 }
 
 // runCalls makes the same calls in either protocol, one after the other.
@@ -69,7 +69,7 @@
 		Answers: map[string]string{"ok": "stands  end 16", "keep": "stands ", "moot": "stands ", "reset": "stands ",
 			"busy": "end 41", "silent": "end 41"},
 		Attempts: map[string]int{"ok": 1, "keep": 1, "moot": 2, "reset": 2, "busy": 1, "silent": 1},
-		Canceled:   3, Released: 3,
+		Canceled: 3, Released: 3,
 	}
 	for _, back := range []bool{false, true} {
 		for _, front := range []bool{false, true} {
--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -28,13 +28,13 @@
 // A recorder writes what happens to the store of records. It runs on the event loop and never waits: the store's queue
 // takes a record or counts it as lost. The nil *recorder is off.
 type recorder struct {
-	server     *Server
-	log        *record.Log
-	current    record.Record // the one at hand; Put keeps nothing of it
-	checkedAt  time.Duration
-	countersRecordedAt  time.Duration
-	lastClockOffset     time.Duration  // of the system's clock when it was last recorded
-	lastCounts map[string]int // counters of limits when they were last recorded
+	server             *Server
+	log                *record.Log
+	current            record.Record // the one at hand; Put keeps nothing of it
+	checkedAt          time.Duration
+	countersRecordedAt time.Duration
+	lastClockOffset    time.Duration  // of the system's clock when it was last recorded
+	lastCounts         map[string]int // counters of limits when they were last recorded
 }
 
 var _ call.Observer = (*recorder)(nil)
--- a/internal/server/simulated_exchange_test.go
+++ b/internal/server/simulated_exchange_test.go
@@ -16,15 +16,15 @@
 type behavior string
 
 const (
-	behaveOK     behavior = "ok"     // the call is established, and released by the exchange
-	behaveKeep   behavior = "keep"   // the call is established
-	behaveBusy   behavior = "busy"   // rejected at each attempt: the number is busy
-	behaveOverloaded   behavior = "full"   // rejected at the first attempt: the exchange is overloaded
-	behaveNotForwarded   behavior = "moot"   // rejected at the first attempt: the call was not forwarded
-	behaveTemporaryFailure  behavior = "reset"  // rejected at the first attempt, which may have run
-	behaveSilent behavior = "silent" // not answered
-	behavePartialAnswer   behavior = "half"   // the answer stops within the message, and the connection brings nothing more
-	behaveUnresponsive   behavior = "mute"   // the connection stays open and brings nothing more
+	behaveOK               behavior = "ok"     // the call is established, and released by the exchange
+	behaveKeep             behavior = "keep"   // the call is established
+	behaveBusy             behavior = "busy"   // rejected at each attempt: the number is busy
+	behaveOverloaded       behavior = "full"   // rejected at the first attempt: the exchange is overloaded
+	behaveNotForwarded     behavior = "moot"   // rejected at the first attempt: the call was not forwarded
+	behaveTemporaryFailure behavior = "reset"  // rejected at the first attempt, which may have run
+	behaveSilent           behavior = "silent" // not answered
+	behavePartialAnswer    behavior = "half"   // the answer stops within the message, and the connection brings nothing more
+	behaveUnresponsive     behavior = "mute"   // the connection stays open and brings nothing more
 )
 
 // establishes reports whether the nth attempt is established: those that are rejected once are at the second.
