--- a/internal/server/discovery.go
+++ b/internal/server/discovery.go
@@ -9,49 +9,49 @@
 	"olivedale/internal/admission"
 )
 
-// Times of the discovery service's socket.
+// Timeouts of the socket to the discovery service.
 const (
-	// socketRetryDelay is the time before a socket is opened again after it could not be opened or was lost.
+	// socketRetryDelay is the delay before reopening a socket that failed to open or was closed.
 	socketRetryDelay = 200 * time.Millisecond
-	// A socket that brings no good answer within a timeout gives way to another. The timeout doubles each time, from
-	// minSilenceTimeout to maxSilenceTimeout.
+	// A socket that receives no valid answer within a timeout is replaced. The timeout doubles with each replacement,
+	// from minSilenceTimeout to maxSilenceTimeout.
 	minSilenceTimeout = time.Second
 	maxSilenceTimeout = 8 * time.Second
 )
 
-// A discoveryClient is the socket to the discovery service. Queries and answers are the endpoint list's; the client
-// owns the address and survives its change and the loss of the socket.
+// A discoveryClient maintains the socket to the discovery service across address changes and socket failures. The
+// resolver builds the queries and parses the answers.
 type discoveryClient struct {
 	server         *Server
 	address        string
-	socket         gnet.Conn // nil while there is none
-	serial         int       // of the latest opening; what an earlier one brings is dropped
+	socket         gnet.Conn // nil if not open
+	serial         int       // number of the latest open request; results of earlier ones are ignored
 	isOpening      bool
-	retryAt        time.Duration // when to open a socket again
-	answeredAt     time.Duration // of the last good answer, or of the latest opening of a socket
+	retryAt        time.Duration // earliest time to reopen the socket
+	answeredAt     time.Duration // time of the last valid answer or of the latest open
 	silenceTimeout time.Duration
 	counters       discoveryCounters
 }
 
-// discoveryCounters count the queries and their answers.
+// discoveryCounters counts queries and their answers.
 type discoveryCounters struct {
 	queries        int
-	queriesFailed  int // not sent
+	queriesFailed  int // could not be sent
 	answers        int
 	invalidAnswers int
 }
 
-// discoverySocket is the context of a socket to the discovery service.
+// discoverySocket is the gnet context of a socket to the discovery service.
 type discoverySocket struct{ serial int }
 
 func newDiscoveryClient(s *Server) *discoveryClient {
 	return &discoveryClient{server: s, address: s.cfg.DiscoveryAddress}
 }
 
-// owns reports whether a socket is the current one.
+// owns reports whether socket is the current socket.
 func (d *discoveryClient) owns(socket gnet.Conn) bool { return d.socket == socket }
 
-// setAddress changes the address at once. Answers from the old one, which may be on their way, are not read any more.
+// setAddress switches to another address immediately. Answers still in flight from the old address are ignored.
 func (d *discoveryClient) setAddress(address string) {
 	d.address = address
 	d.silenceTimeout = 0
@@ -59,7 +59,7 @@
 	d.open()
 }
 
-// closeSocket closes the socket.
+// closeSocket closes the current socket, if any, and invalidates an open request in progress.
 func (d *discoveryClient) closeSocket() {
 	d.serial++
 	d.isOpening = false
@@ -69,14 +69,14 @@
 	}
 }
 
-// recordAnswer notes a good answer.
+// recordAnswer records that a valid answer was received.
 func (d *discoveryClient) recordAnswer(now time.Duration) {
 	d.counters.answers++
 	d.answeredAt = now
 	d.silenceTimeout = 0
 }
 
-// open opens a socket. The current one, if any, serves until the new one is open.
+// open opens a new socket. The current socket, if any, stays in use until the new one is open.
 func (d *discoveryClient) open() {
 	d.isOpening = true
 	d.answeredAt = d.server.loop.Now()
@@ -84,13 +84,13 @@
 	go d.dial(d.address, d.serial)
 }
 
-// dial opens a socket and hands it, or the error, to the loop. It runs beside the loop.
+// dial opens a socket and passes it, or the error, to the event loop. It runs on its own goroutine.
 func (d *discoveryClient) dial(address string, serial int) {
 	loop := d.server.loop
 	c, err := net.Dial("udp", address)
 	if err == nil {
 		if err = loop.Enroll(c, discoverySocket{serial}); err == nil {
-			return // OnOpen follows
+			return // gnet calls OnOpen
 		}
 		_ = c.Close()
 	}
@@ -106,7 +106,7 @@
 	d.server.loop.Log.Warnw("names_failed", "addr", d.address, "err", err)
 }
 
-// handleOpen takes an opened socket; false: it is to be closed.
+// handleOpen installs an opened socket. It returns false if the socket is outdated and must be closed.
 func (d *discoveryClient) handleOpen(serial int, socket gnet.Conn) bool {
 	if serial != d.serial {
 		return false
@@ -122,7 +122,7 @@
 	return true
 }
 
-// handleClose forgets a lost socket: its descriptor may become another connection's.
+// handleClose drops the reference to a closed socket, since its descriptor may be reused by another connection.
 func (d *discoveryClient) handleClose(socket gnet.Conn) {
 	if d.owns(socket) && d.server.lifecycle.state != stateStopping {
 		d.socket = nil
@@ -131,7 +131,7 @@
 	}
 }
 
-// poll asks for the list, over a new socket if the current one was lost or is silent.
+// poll queries the endpoint list. It first reopens a socket that was closed and replaces one that gets no answers.
 func (d *discoveryClient) poll(now time.Duration) {
 	switch {
 	case d.isOpening || now < d.retryAt:
@@ -143,9 +143,9 @@
 	d.query()
 }
 
-// replaceSilentSocket opens another socket. The path of one socket may be dead, such as through a filter that forgot
-// it, and would keep every later drain from this process. The next timeout is longer, and not the same for all
-// controllers.
+// replaceSilentSocket opens another socket. The path of a socket can fail permanently, for example when a firewall
+// drops its state, and the process would then miss every later drain. The next timeout is longer and has a random
+// part, so that controllers do not reconnect at the same time.
 func (d *discoveryClient) replaceSilentSocket(now time.Duration) {
 	d.server.loop.Log.Warnw("names_silent", "addr", d.address, "silent", now-d.answeredAt)
 	longer := min(2*max(d.silenceTimeout, minSilenceTimeout), maxSilenceTimeout)
@@ -169,12 +169,12 @@
 	}
 }
 
-// handleDiscoveryAnswer applies an answer of the discovery service.
+// handleDiscoveryAnswer applies an answer from the discovery service.
 func (s *Server) handleDiscoveryAnswer(text []byte) {
 	changed, err := s.resolver.HandleAnswer(text)
 	if err != nil {
 		s.discovery.counters.invalidAnswers++
-		if s.discovery.counters.invalidAnswers == 1 { // the counter shows how many there were
+		if s.discovery.counters.invalidAnswers == 1 { // logged once; the counter has the total
 			s.loop.Log.Warnw("bad_news", "err", err)
 		}
 		return
@@ -190,7 +190,7 @@
 		s.loop.Log.Infow("exchange", "id", e.ID, "phase", e.Phase, "cell", e.Pool, "addr", e.Address,
 			"started", e.Started)
 	}
-	s.calls.UpdateServers(servers, false) // before the backends report ends: nothing is to go there again
+	s.calls.UpdateServers(servers, false) // before the backends end attempts, so that none is retried there
 	for _, e := range changed {
 		s.backends.UpdateEndpoint(e)
 	}
