--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -7,8 +7,9 @@
 	"olivedale/internal/frontend"
 )
 
-// The context of a socket says whose it is: a discoverySocket, a backend.Dialing until the socket is opened and then
-// a backend.SocketOwner, or a listenerKind until the socket is opened and then a frontend.Connection.
+// The gnet context of a socket identifies its owner: a discoverySocket; a backend.Dialing until the socket is opened
+// and a backend.SocketOwner afterwards; or a listenerKind until the socket is opened and a frontend.Connection
+// afterwards.
 
 // OnOpen implements gnet.EventHandler.
 func (s *Server) OnOpen(socket gnet.Conn) (out []byte, action gnet.Action) {
@@ -24,10 +25,10 @@
 	return nil, action
 }
 
-// accept hands a new socket to its owner; false: it is to be closed.
+// accept passes a new socket to its owner. It returns false if the socket must be closed.
 func (s *Server) accept(socket gnet.Conn) bool {
 	switch owner := socket.Context().(type) {
-	case discoverySocket: // gnet opens a connected datagram socket like a connection
+	case discoverySocket: // gnet also calls OnOpen for connected datagram sockets
 		return s.discovery.handleOpen(owner.serial, socket)
 	case backend.Dialing:
 		return owner.HandleOpen(socket)
@@ -37,7 +38,8 @@
 	return false
 }
 
-// acceptClient hands a connection that a listener has accepted to its frontend; false: it is to be closed.
+// acceptClient passes an accepted connection to the frontend of its listener. It returns false if the connection must
+// be closed.
 func (s *Server) acceptClient(kind listenerKind, socket gnet.Conn) bool {
 	switch kind {
 	case gatewayListener:
@@ -88,8 +90,8 @@
 	return gnet.None
 }
 
-// readPending handles what a caller's connection has received since the last iteration, and answers it before the
-// connection is closed.
+// readPending processes and answers the input that a caller's connection has received since the last iteration, before
+// the connection is closed.
 func (s *Server) readPending(socket gnet.Conn) {
 	c, ok := socket.Context().(frontend.Connection)
 	if !ok {
--- a/internal/server/late_connections.go
+++ b/internal/server/late_connections.go
@@ -6,33 +6,35 @@
 	"olivedale/internal/frontend"
 )
 
-// Times of the connections that come as the process ends.
+// Timeouts for connections that arrive while the process ends.
 const (
-	// latePollInterval is the time between two looks for connections; after lateQuietLooks in a row without any nobody
-	// is there any more. Looks are counted, not time: a process that gets no processor has not looked.
+	// latePollInterval is the interval between checks for new connections. Accepting stops after lateIdlePolls
+	// consecutive checks without one. Checks are counted instead of time, because a process that is not scheduled has
+	// not checked.
 	latePollInterval = 5 * time.Millisecond
 	lateIdlePolls    = 12
-	// lateAcceptTimeout bounds how long connections are accepted: SIGKILL may be near.
+	// lateAcceptTimeout bounds how long connections are accepted, because SIGKILL may follow soon.
 	lateAcceptTimeout = 200 * time.Millisecond
-	// lateReadTimeout bounds the wait for the set-ups of connections that were accepted.
+	// lateReadTimeout bounds the wait for set-ups on accepted connections.
 	lateReadTimeout = 100 * time.Millisecond
 )
 
-// lateConnections is the progress of the state stopping. A set-up that crosses the close of its connection is sent
-// again on a new one, which the kernel accepts for as long as there is a listening socket: it would be lost with the
-// process. So connections are accepted for a while longer, and their set-ups rejected.
+// lateConnections tracks the progress of the stopping state. A client whose set-up crosses the close of its connection
+// sends it again on a new connection. The kernel accepts that connection as long as a listening socket exists, and the
+// set-up would be lost when the process exits. Connections are therefore accepted a little longer and their set-ups
+// rejected.
 type lateConnections struct {
 	acceptUntil time.Duration
-	idlePolls   int   // looks in a row without a new connection
-	accepted    int64 // connections at the latest look
+	idlePolls   int   // consecutive checks without a new connection
+	accepted    int64 // number of accepted connections at the latest check
 	isAccepting bool
-	readUntil   time.Duration // set once accepting has ended
+	readUntil   time.Duration // 0 until accepting has ended
 }
 
-// closeConnections closes the connections of callers and then those to exchanges. What callers have sent is handled
-// first: set-ups are rejected, and releases still go to their exchanges. What exchanges have sent is not read: they
-// repeat releases that are not confirmed on the connections of the next process. Connections of callers on which a
-// set-up may be on its way stay. It runs on the loop outside of an iteration, because each close is one of its own.
+// closeConnections closes the connections of callers and then those to exchanges. Pending input of callers is processed
+// first: set-ups are rejected, and releases are forwarded to their exchanges. Pending input of exchanges is not read,
+// because they repeat unconfirmed releases on the connections of the next process. Caller connections on which a set-up
+// may be in flight stay open. It runs on the loop outside of an iteration, because each close is its own iteration.
 func (s *Server) closeConnections() {
 	for _, f := range s.frontends.all() {
 		for _, c := range f.Connections() {
@@ -49,17 +51,18 @@
 		isAccepting: true,
 	}
 	s.lifecycle.checkAt = now
-	s.loop.RunIteration(func() {}) // sets the timer
+	s.loop.RunIteration(func() {}) // an iteration sets the timer
 }
 
-// mayDeliverSetup reports whether part of a message has come on a connection, or its first set-up may be on its way.
+// mayDeliverSetup reports whether a connection has received part of a message or its first set-up may be in flight.
 func (s *Server) mayDeliverSetup(c frontend.Connection) bool {
 	conn := c.Conn()
 	return conn.HasPartialMessage() || !conn.HasSentMessage() && conn.Age(s.loop.Now()) < lateReadTimeout
 }
 
-// checkStopping ends accepting once no connection has come for a while, and the event loop once all that was accepted has
-// its answer. Everything that is still open then is read and answered as the loop closes it.
+// checkStopping stops accepting once no new connection has arrived for a while, and ends the event loop once every
+// accepted connection has been answered. Connections that are still open then are read and answered as the loop closes
+// them.
 func (s *Server) checkStopping(now time.Duration) {
 	late := &s.lifecycle.late
 	s.lifecycle.checkAt = now + latePollInterval
@@ -75,14 +78,14 @@
 			s.listeners.wait()
 			s.loop.ExecuteIteration(func() { late.readUntil = s.loop.Now() + lateReadTimeout })
 		}()
-	case late.readUntil == 0: // the queues of the listening sockets are being emptied
+	case late.readUntil == 0: // the queues of the listening sockets are still being drained
 	case now >= late.readUntil || !s.hasUnansweredConnections():
 		s.lifecycle.state = stateEnded
 		close(s.lifecycle.ended)
 	}
 }
 
-// poll notes the number of connections at a poll, and reports whether to go on accepting.
+// poll records the number of accepted connections and reports whether to continue accepting.
 func (l *lateConnections) poll(now time.Duration, accepted int64) bool {
 	l.idlePolls++
 	if accepted > l.accepted {
@@ -92,7 +95,8 @@
 	return l.idlePolls < lateIdlePolls && now < l.acceptUntil
 }
 
-// hasUnansweredConnections reports whether a connection has not brought a complete message, or has not been sent all answers.
+// hasUnansweredConnections reports whether a connection may still deliver a set-up or has output that its peer has
+// not read yet.
 func (s *Server) hasUnansweredConnections() bool {
 	for _, f := range s.frontends.all() {
 		for _, c := range f.Connections() {
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -10,23 +10,23 @@
 	"olivedale/internal/config"
 )
 
-// A listenerKind is whose connections a listener takes. It is the context of a socket until that is opened.
+// A listenerKind says which clients a listener accepts. It is the gnet context of a socket until the socket is opened.
 type listenerKind int
 
 const (
-	jsonListener    listenerKind = iota // callers of the platform's protocol
+	jsonListener    listenerKind = iota // callers that use the JSON protocol of the platform
 	gatewayListener                     // media gateways
-	adminListener                       // the agent
+	adminListener                       // the agent and administration tools
 )
 
-// A listener is an address that the server listens on.
+// A listener is one address that the server listens on.
 type listener struct {
 	kind              listenerKind
 	configuredAddress string
 	acceptor          *acceptor.Acceptor // nil until open
 }
 
-// listeners are the addresses that the server listens on, the callers' first.
+// listeners are all addresses that the server listens on. The first is the address for callers.
 type listeners struct {
 	all       []*listener
 	accepting sync.WaitGroup
@@ -43,7 +43,8 @@
 	return l
 }
 
-// open opens the listening sockets; connections wait in their queues until accept. After an error none is open.
+// open opens the listening sockets. Connections wait in their queues until accept is called. After an error no socket
+// is open.
 func (l *listeners) open() error {
 	for _, each := range l.all {
 		a, err := acceptor.Listen(each.configuredAddress)
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// closeBeforeAccept closes the listening sockets that are open, before accept.
+// closeBeforeAccept closes the open listening sockets if accept has not been called.
 func (l *listeners) closeBeforeAccept() {
 	for _, each := range l.all {
 		if each.acceptor != nil {
@@ -66,22 +67,22 @@
 	}
 }
 
-// callerAddress returns the address that the callers' listener has bound.
+// callerAddress returns the bound address of the listener for callers.
 func (l *listeners) callerAddress() string { return l.all[0].acceptor.Address() }
 
-// accept hands the connections of all listeners to the client engine, on a goroutine for each listener. Each connection
-// is opened on the event loop before the next is accepted.
+// accept passes the connections of all listeners to the gnet engine, using one goroutine per listener. Each connection
+// is opened on the event loop before the next one is accepted.
 func (l *listeners) accept(engine *gnet.Client) {
 	for _, each := range l.all {
 		l.accepting.Go(func() {
 			each.acceptor.Accept(func(conn net.Conn) {
-				_, _ = engine.EnrollContext(conn, each.kind) // after an error it has closed the connection
+				_, _ = engine.EnrollContext(conn, each.kind) // on an error the engine has closed the connection
 			})
 		})
 	}
 }
 
-// accepted returns the number of connections that have been accepted.
+// accepted returns the total number of accepted connections.
 func (l *listeners) accepted() (count int64) {
 	for _, each := range l.all {
 		count += each.acceptor.Accepted()
@@ -89,7 +90,7 @@
 	return count
 }
 
-// close ends accepting. When await returns, each connection that was accepted has been opened.
+// close stops accepting. Once wait returns, every accepted connection has been opened on the event loop.
 func (l *listeners) close() {
 	for _, each := range l.all {
 		each.acceptor.Close()
