--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -11,10 +11,10 @@
 	"olivedale/internal/config"
 )
 
-// pollInterval is the time between two queries of the discovery service; each also repeats one that was lost.
+// pollInterval is the interval between queries to the discovery service. A query also makes up for a lost earlier one.
 const pollInterval = 150 * time.Millisecond
 
-// Run serves until Stop has done its work.
+// Run serves until the shutdown that Stop begins is complete.
 func (s *Server) Run() error {
 	err := s.serve()
 	if rejected := s.frontends.host.Counters.LateSetups; rejected > 0 {
@@ -22,14 +22,14 @@
 	}
 	s.overload.close()
 	s.numbering.close()
-	s.recorder.close() // the loop has ended, so this goroutine may use its state
+	s.recorder.close() // the loop has ended, so this goroutine may access its state
 	if err != nil {
 		return fmt.Errorf("serving %s: %w", s.cfg.Listen, err)
 	}
 	return s.lifecycle.startError
 }
 
-// serve runs the event loop and accepts connections until the shutdown has ended.
+// serve runs the event loop and accepts connections until the shutdown is complete.
 func (s *Server) serve() error {
 	if err := s.listeners.open(); err != nil {
 		return err
@@ -51,11 +51,11 @@
 	return engine.Stop()
 }
 
-// Started is closed once the server serves.
+// Started returns a channel that is closed once the server accepts calls.
 func (s *Server) Started() <-chan struct{} { return s.lifecycle.started }
 
-// connectToSelf opens a first connection to this server itself. It brings the event loop, which gnet shows by a
-// connection only.
+// connectToSelf opens a first connection to this server. The server needs it to get the event loop, which gnet exposes
+// only through a connection.
 func (s *Server) connectToSelf() {
 	c, err := net.DialTimeout("tcp", s.listeners.callerAddress(), s.cfg.DialTimeout)
 	if err != nil {
@@ -67,7 +67,7 @@
 	_ = c.Close()
 }
 
-// start starts what needs the event loop, on its first connection.
+// start starts everything that depends on the event loop. It runs when the first connection is opened.
 func (s *Server) start(engine gnet.EventLoop) {
 	s.loop.Attach(engine)
 	s.loop.StartTimer(s.tick)
@@ -89,7 +89,7 @@
 	log.Infow("started", "name", s.cfg.Name, "listen", s.cfg.Listen, "exchanges", s.backends.Len())
 }
 
-// setTimer sets the timer to what is due next. It runs after each iteration of the loop.
+// setTimer sets the timer to the next deadline. It runs after each iteration of the loop.
 func (s *Server) setTimer() {
 	if s.lifecycle.isEnding() {
 		s.loop.SetTimer(s.lifecycle.checkAt)
@@ -102,7 +102,7 @@
 	s.loop.SetTimer(next)
 }
 
-// tick does what is due, on the loop.
+// tick processes all expired deadlines. It is the timer callback of the loop.
 func (s *Server) tick() {
 	s.loop.RunIteration(func() {
 		now := s.loop.Now()
@@ -123,7 +123,7 @@
 	})
 }
 
-// poll does what is due in each pollInterval.
+// poll runs the periodic work, once per pollInterval.
 func (s *Server) poll(now time.Duration) {
 	s.discovery.poll(now)
 	s.recorder.tick(now)
@@ -134,14 +134,14 @@
 	}
 }
 
-// Reload takes a configuration that was read again; it may be called from anywhere once the server has started.
-// Connections, calls and the list of endpoints stay. Only the discovery service's address can change while the program
-// runs.
+// Reload applies a configuration that was read again. It may be called from any goroutine once the server has started.
+// Connections, calls and the list of endpoints are kept. Only the address of the discovery service can change at
+// runtime.
 func (s *Server) Reload(cfg *config.Config) {
 	s.loop.ExecuteIteration(func() {
 		s.loop.Log.Infow("reloaded", "names", cfg.DiscoveryAddress)
 		if needsRestart(s.cfg, cfg) {
-			s.loop.Log.Infow("reload_partial", "err", "name, listen, limits and settings change at a restart only")
+			s.loop.Log.Infow("reload_partial", "err", "changes to name, listen, limits and settings need a restart")
 		}
 		if cfg.DiscoveryAddress != s.discovery.address {
 			s.discovery.setAddress(cfg.DiscoveryAddress)
@@ -150,8 +150,9 @@
 	})
 }
 
-// needsRestart reports whether two configurations differ in what changes at a restart only.
-func needsRestart(running, read *config.Config) bool {
-	return read.Name != running.Name || read.Listen != running.Listen || read.MemoryMB != running.MemoryMB ||
-		read.Sockets != running.Sockets || !reflect.DeepEqual(read.Settings, running.Settings)
+// needsRestart reports whether two configurations differ in values that only a restart can change.
+func needsRestart(current, reloaded *config.Config) bool {
+	return reloaded.Name != current.Name || reloaded.Listen != current.Listen ||
+		reloaded.MemoryMB != current.MemoryMB || reloaded.Sockets != current.Sockets ||
+		!reflect.DeepEqual(reloaded.Settings, current.Settings)
 }
