--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/frontend/gateway"
 )
 
-// An administrator serves what gateways and operators may ask of the server over H.248.
+// An administrator implements the management requests that gateways and operators send to the server over H.248.
 type administrator struct{ server *Server }
 
 var _ gateway.Administrator = (*administrator)(nil)
@@ -21,7 +21,8 @@
 	a.server.recorder.recordClockStamps(peer, stamps)
 }
 
-// OrderNumbering implements gateway.Administrator. The reply names the order's job; an audit shows how that ends.
+// OrderNumbering implements gateway.Administrator. The reply carries the job of the command; its result is reported by
+// a later audit.
 func (a *administrator) OrderNumbering(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	router := a.server.numbering
 	if router == nil {
@@ -55,8 +56,8 @@
 	return adminapi.OverloadNodes(control.member.State(a.server.loop.Now())), true
 }
 
-// Audit implements gateway.Administrator. Classes and exchanges are shown on the admin address only: where calls go is
-// no business of a gateway.
+// Audit implements gateway.Administrator. Classes and exchanges are reported on the admin address only, because
+// gateways must not learn where calls are routed.
 func (a *administrator) Audit(isAdmin bool) []*h248.Node {
 	s := a.server
 	serviceState := "InService"
@@ -76,7 +77,7 @@
 	return []*h248.Node{{Name: "Media", Children: []*h248.Node{termination}}, stats}
 }
 
-// auditCounters returns the counters of calls and records as statistics.
+// auditCounters returns the call and record counters as H.248 statistics.
 func (s *Server) auditCounters() (nodes []*h248.Node) {
 	add := func(name string, value int) {
 		nodes = append(nodes, &h248.Node{Name: "oc/" + name, Value: strconv.Itoa(value)})
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -13,30 +13,30 @@
 	"olivedale/internal/codec/h248"
 )
 
-// otherClasses is the name under which calls of unknown classes are counted.
+// otherClasses is the name under which calls of unconfigured classes are counted.
 const otherClasses = "(others)"
 
-// maxAuditedServers bounds the exchanges of one reply, which is one message of 16 KiB at most.
+// maxAuditedServers bounds the exchanges in an audit reply, because a reply is a single message of at most 16 KiB.
 const maxAuditedServers = 64
 
-// metrics count calls by class and by exchange for those who ask on the admin address. They exist only where that
-// address does, and pass everything on to the recorder where there is one. Their tables grow with the configured
-// classes and the known exchanges, not with what callers send. The nil *metrics is off.
+// metrics counts calls by class and by exchange for audits on the admin address. It exists only if that address is
+// configured, and forwards all events to the recorder, if any. Its size depends on the configured classes and the known
+// exchanges, not on the input of callers. A nil *metrics is disabled.
 type metrics struct {
 	server  *Server
-	next    call.Observer // nil: none
-	classes []classStats  // as configured; the last is for all others
+	next    call.Observer // nil if there is none
+	classes []classStats  // the configured classes, then otherClasses
 }
 
 var _ call.Observer = (*metrics)(nil)
 
-// classStats are the counts of one class.
+// classStats holds the counters of one class.
 type classStats struct {
 	name             string
 	latencyObjective time.Duration
 	offered          int
 	established      int
-	late             int // established later than the objective
+	late             int // established, but later than the objective
 	rejected         int
 	failed           int
 	abandoned        int
@@ -53,7 +53,7 @@
 	return m
 }
 
-// class returns the counts of a class.
+// class returns the counters of a class, or those of otherClasses if the class is not configured.
 func (m *metrics) class(name string) *classStats {
 	for i := range m.classes {
 		if m.classes[i].name == name {
@@ -63,7 +63,7 @@
 	return &m.classes[len(m.classes)-1]
 }
 
-// backend returns the counts of a known exchange; what is counted for others is lost.
+// backend returns the counters of an exchange. For an unknown exchange it returns counters that nobody reads.
 func (m *metrics) backend(id string) *backend.Stats {
 	if c := m.server.backends.Get(id); c != nil {
 		return &c.Stats
@@ -142,7 +142,7 @@
 	}
 }
 
-// rateLimitChanged notes the rate limit of an exchange; +Inf is none.
+// rateLimitChanged stores the rate limit of an exchange. +Inf means no limit.
 func (m *metrics) rateLimitChanged(c admission.RateLimitChanged) {
 	if m == nil {
 		return
@@ -154,10 +154,10 @@
 	}
 }
 
-// A statistic is one value of an audit.
+// A statistic is one named value in an audit reply.
 type statistic struct{ name, value string }
 
-// auditNode returns statistics as a node; those without a value are left out.
+// auditNode returns a node with the given statistics. Statistics without a value are omitted.
 func auditNode(kind string, statistics []statistic) *h248.Node {
 	n := &h248.Node{Name: kind}
 	for _, s := range statistics {
@@ -168,8 +168,8 @@
 	return n
 }
 
-// audit returns the metrics by class and by exchange. Of the exchanges those with a rate limit and the busiest come
-// first.
+// audit returns the metrics by class and by exchange. If there are more exchanges than fit, it prefers those with a
+// rate limit and then the busiest.
 func (m *metrics) audit() (nodes []*h248.Node) {
 	for i := range m.classes {
 		c := &m.classes[i]
@@ -185,7 +185,7 @@
 	return nodes
 }
 
-// compareForAudit orders exchanges: those with a rate limit first, then the busiest, then by id.
+// compareForAudit orders exchanges with a rate limit first, then by descending number of attempts, then by id.
 func compareForAudit(a, b *backend.Conn) int {
 	switch aLimited, bLimited := a.Stats.RateLimit > 0, b.Stats.RateLimit > 0; {
 	case aLimited && !bLimited:
