--- a/internal/server/numbering.go
+++ b/internal/server/numbering.go
@@ -17,32 +17,34 @@
 )
 
 const (
-	// stateName is the name in the store of which versions are in force; rules are stored by their digest.
+	// stateName is the store name of the activation state, which names the active versions. The rules of a version are
+	// stored under their digest.
 	stateName = "standing"
-	// undecidedRetryAfter is how long callers are asked to wait where nobody can tell a number's route.
+	// undecidedRetryAfter is the retry-after time sent to callers if the route of a number cannot be determined.
 	undecidedRetryAfter = 2 * time.Second
-	// defaultAttemptTime is the share of a call's time for one attempt if its class is not known.
+	// defaultAttemptTime is the time reserved for one attempt if the class of the call is unknown.
 	defaultAttemptTime = 500 * time.Millisecond
-	// answerTime is the time that must be left for the answer behind a look-up and the attempts.
+	// answerTime is the time reserved for the answer after the look-up and the attempts.
 	answerTime = 10 * frontend.AnswerMargin
 )
 
-// A numberRouter routes calls by the table of numbers in force. The desk belongs to the loop; tables are read,
-// compiled and saved elsewhere, one order at a time, and handed in complete. The nil *numberRouter is off.
+// A numberRouter routes calls by the active numbering table. Only the event loop accesses versions. Tables are read,
+// compiled and saved on other goroutines, one command at a time, and passed to the loop when they are complete. A nil
+// *numberRouter is disabled.
 type numberRouter struct {
 	server   *Server
 	file     string
 	classes  []numbering.Class
 	versions numbering.VersionManager
-	store    *store.Store // nil: versions do not survive a restart
+	store    *store.Store // nil if versions do not survive a restart
 	lookup   config.Lookup
-	client   *enum.Client // nil: no numbers are looked up
+	client   *enum.Client // nil if numbers are not looked up
 }
 
 var _ call.Router = (*numberRouter)(nil)
 
-// newNumberRouter restores what was in force before, or reads the file. A program that is to route by number does not
-// start without a good table.
+// newNumberRouter restores the active version from the store or reads the table from the file. It fails if neither
+// provides a valid table: a controller that routes by number must not start without one.
 func newNumberRouter(s *Server, o *config.Numbering) (*numberRouter, error) {
 	r := &numberRouter{server: s, file: o.File, lookup: o.Lookup}
 	for _, c := range s.cfg.Settings.Classes {
@@ -71,7 +73,7 @@
 	return r, nil
 }
 
-// loadFile reads the table of the file and puts it in force.
+// loadFile reads the table from the file and activates it.
 func (r *numberRouter) loadFile() error {
 	now := r.server.loop.Now
 	table, text, err := numbering.CompileFile(r.file, r.deployment(now()))
@@ -90,8 +92,8 @@
 	return r.saveState(r.versions.ActivationState())
 }
 
-// restore restores the versions of before; false where there are none that are good. A torn or damaged state gives way
-// to the last good one, which is logged.
+// restore restores the versions from the store and reports whether a valid state was found. Damaged states are logged
+// and the last valid one is used.
 func (r *numberRouter) restore() bool {
 	log := r.server.loop.Log
 	latest, err := r.store.Load(stateName)
@@ -116,7 +118,7 @@
 	return false
 }
 
-// restoreState restores the versions that one stored state names.
+// restoreState restores the versions that a stored state refers to.
 func (r *numberRouter) restoreState(data []byte) error {
 	state, err := numbering.DecodeActivationState(data)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return r.versions.Restore(r.server.loop.Now(), state)
 }
 
-// deployment is what rules are checked against, as of a time.
+// deployment returns the deployment that rules are validated against at the given time.
 func (r *numberRouter) deployment(now time.Duration) numbering.Deployment {
 	return numbering.Deployment{Classes: r.classes, Now: now}
 }
@@ -149,12 +151,12 @@
 		return err
 	}
 	if table.Digest() != digest {
-		return fmt.Errorf("its digest is %s", table.Digest())
+		return fmt.Errorf("the stored rules have the digest %s", table.Digest())
 	}
 	return r.versions.Load(r.server.loop.Now(), table)
 }
 
-// saveRules stores the rules of a version, unless they are stored already.
+// saveRules stores the rules of a version if they are not stored yet.
 func (r *numberRouter) saveRules(table *numbering.Table, text []byte) error {
 	if r.store == nil {
 		return nil
@@ -166,7 +168,7 @@
 	return err
 }
 
-// saveState stores which versions are in force.
+// saveState stores the activation state.
 func (r *numberRouter) saveState(state numbering.ActivationState) error {
 	if r.store == nil {
 		return nil
@@ -175,7 +177,7 @@
 	return err
 }
 
-// logActive logs and records the table in force.
+// logActive logs and records the active table.
 func (r *numberRouter) logActive(reason string) {
 	table := r.versions.Active()
 	r.server.loop.Log.Infow("numbers", "digest", table.Digest(), "version", table.Version,
@@ -183,14 +185,14 @@
 	r.server.recorder.recordConfigVersion("numbers", table.Digest(), table.Version)
 }
 
-// tick puts in force what is due.
+// tick activates a scheduled version that is due.
 func (r *numberRouter) tick(now time.Duration) {
 	if r != nil && r.versions.Tick(now) {
 		r.logActive("due")
 	}
 }
 
-// lookups returns the counters of look-ups; ok is false where numbers are not looked up.
+// lookups returns the look-up counters. ok is false if numbers are not looked up.
 func (r *numberRouter) lookups() (c portability.Counters, ok bool) {
 	if r == nil || r.client == nil {
 		return c, false
@@ -198,7 +200,7 @@
 	return r.client.Counters(), true
 }
 
-// audit returns the table in force and the counters of look-ups.
+// audit returns the active table and the look-up counters.
 func (r *numberRouter) audit() (nodes []*h248.Node) {
 	if r == nil {
 		return nil
@@ -211,7 +213,7 @@
 	return nodes
 }
 
-// report writes the counters of look-ups.
+// report logs the look-up counters.
 func (r *numberRouter) report() {
 	c, ok := r.lookups()
 	if !ok {
@@ -223,7 +225,7 @@
 		"strays", c.UnmatchedAnswers, "lies", c.MismatchedAnswers, "broken", c.BreakerOpenings)
 }
 
-// close ends the look-ups once the loop has ended.
+// close closes the ENUM client. It must be called after the loop has ended.
 func (r *numberRouter) close() {
 	if r != nil && r.client != nil {
 		r.client.Close()
--- a/internal/server/numbering_order.go
+++ b/internal/server/numbering_order.go
@@ -6,28 +6,28 @@
 	"olivedale/internal/numbering"
 )
 
-// maxStoredVersions bounds the versions of the table in the store.
+// maxStoredVersions bounds the number of table versions in the store.
 const maxStoredVersions = 32
 
-// beginCommand begins an operator's order on the table of numbers, on the loop. Its disk work is done beside the loop;
-// then done, which may be nil, is called on the loop with how the order ended.
+// beginCommand starts an operator's command on the numbering table. It must be called on the loop. The disk work runs
+// on another goroutine; then done, which may be nil, is called on the loop with the result.
 func (r *numberRouter) beginCommand(o numbering.Command, done func(error)) error {
 	_, state, err := r.versions.Begin(r.server.loop.Now(), o)
 	if err != nil {
 		return err
 	}
 	if o.Op == numbering.OpLoad {
-		environment := r.deployment(r.server.loop.Now())
-		go r.loadVersion(o, environment, done)
+		deployment := r.deployment(r.server.loop.Now())
+		go r.loadVersion(o, deployment, done)
 	} else {
 		go r.changeState(o, *state, done)
 	}
 	return nil
 }
 
-// loadVersion reads a file and loads its table. It runs beside the loop.
-func (r *numberRouter) loadVersion(o numbering.Command, environment numbering.Deployment, done func(error)) {
-	table, text, err := numbering.CompileFile(o.File, environment)
+// loadVersion reads a file and loads its table. It runs on its own goroutine.
+func (r *numberRouter) loadVersion(o numbering.Command, deployment numbering.Deployment, done func(error)) {
+	table, text, err := numbering.CompileFile(o.File, deployment)
 	if err == nil {
 		err = r.saveRules(table, text)
 	}
@@ -40,7 +40,7 @@
 	})
 }
 
-// changeState saves which versions are to be in force and puts them in force. It runs beside the loop.
+// changeState saves an activation state and applies it. It runs on its own goroutine.
 func (r *numberRouter) changeState(o numbering.Command, state numbering.ActivationState, done func(error)) {
 	err := r.saveState(state)
 	if err == nil && r.store != nil {
@@ -56,7 +56,7 @@
 	})
 }
 
-// finishCommand ends an order on the loop. It may be called from anywhere.
+// finishCommand completes a command on the loop. It may be called from any goroutine.
 func (r *numberRouter) finishCommand(o numbering.Command, done func(error), finish func() error) {
 	r.server.loop.ExecuteIteration(func() {
 		err := finish()
@@ -69,7 +69,8 @@
 	})
 }
 
-// deleteOldRules deletes stored rules that the state does not name, except the latest few: they may be loaded.
+// deleteOldRules deletes stored rules that the state does not refer to, until at most maxStoredVersions names are left.
+// Some unused rules are kept because they may be loaded.
 func (r *numberRouter) deleteOldRules(state numbering.ActivationState) {
 	names, err := r.store.Names()
 	if err != nil {
@@ -91,9 +92,9 @@
 	}
 }
 
-// ReloadNumbering reads the table of numbers again, as SIGHUP asks for, and puts it in force for calls from then on: a
-// load and an activation, as an operator would order them. A bad table is logged and changes nothing. It may be called
-// from anywhere once the server has started.
+// ReloadNumbering reads the numbering table again, as requested by SIGHUP, and activates it for new calls. It runs a
+// load and an activation like the corresponding commands of an operator. An invalid table is logged and changes
+// nothing. It may be called from any goroutine once the server has started.
 func (s *Server) ReloadNumbering() {
 	r := s.numbering
 	if r == nil {
@@ -105,7 +106,7 @@
 	})
 }
 
-// activateLoaded puts in force what the last order has loaded, unless that failed.
+// activateLoaded activates the version that the last command loaded, unless loading failed.
 func (r *numberRouter) activateLoaded(loadErr error) {
 	if loadErr != nil {
 		r.logReloadFailure(loadErr)
--- a/internal/server/numbering_route.go
+++ b/internal/server/numbering_route.go
@@ -30,7 +30,7 @@
 	return route
 }
 
-// startLookup looks a call's number up; false: it cannot be looked up, or not in time.
+// startLookup starts the look-up of a call's number. It returns false if the number cannot be looked up in time.
 func (r *numberRouter) startLookup(now call.Time, q *call.Request, ref *numbering.TableRef, query numbering.Query,
 	decision *numbering.Decision) bool {
 	wait := r.lookupBudget(q.Class).LookUpTime(q.Deadline - now)
@@ -43,18 +43,18 @@
 	})
 }
 
-// resolve goes on with a call whose number was looked up, by the table that it began with.
+// resolve continues a call after the look-up of its number, using the table that the call started with.
 func (r *numberRouter) resolve(id string, ref *numbering.TableRef, query numbering.Query, result portability.Result) {
 	table := ref.Table()
 	if table == nil {
-		return // the call has ended meanwhile
+		return // the call has ended in the meantime
 	}
 	query.Ported = result.Ported
 	decision := table.Analyse(&query)
 	r.server.calls.RouteResolved(id, r.newRoute(&query, &decision))
 }
 
-// newRoute converts a decision for the manager of calls.
+// newRoute converts a numbering decision to the route of a call.
 func (r *numberRouter) newRoute(query *numbering.Query, d *numbering.Decision) call.Route {
 	isUndecided := query.Ported.State == numbering.PortingUnknown
 	if isUndecided && r.lookup.Fallback == config.FallbackRefuse {
@@ -64,8 +64,8 @@
 	return call.Route{Pools: d.Pools(), Cause: d.Cause, Emergency: d.Emergency}
 }
 
-// lookupBudget returns what a look-up for a call of a class may take: two attempts of half the latency objective each,
-// the retry guard between them and the answer must still fit behind it.
+// lookupBudget returns the time budget of a look-up for a call of a class. After the look-up there must be time for two
+// attempts of half the latency objective each, the retry guard between them, and the answer.
 func (r *numberRouter) lookupBudget(class string) portability.Budget {
 	settings := r.server.cfg.Settings
 	attempt := defaultAttemptTime
