--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -13,37 +13,37 @@
 	"olivedale/internal/transport"
 )
 
-// An incarnation numbers the starts of a controller in units of incarnationUnit since incarnationEpoch, which is
-// 2024-01-01 in Unix milliseconds, so that the numbers grow from start to start for 34 years.
+// An incarnation number identifies a start of a controller. It counts units of incarnationUnit since incarnationEpoch,
+// which is 2024-01-01 in Unix milliseconds, so that it increases with every start for 34 years.
 const (
 	incarnationEpoch = 1_704_067_200_000
 	incarnationUnit  = 250 // milliseconds
 )
 
-// unreadableLogInterval is the time between two log lines of datagrams that could not be read.
+// unreadableLogInterval is the minimum time between two log lines about malformed datagrams.
 const unreadableLogInterval = 10 * time.Second
 
-// noAggregator is logged before the first.
+// noAggregator is logged as the previous aggregator when there was none yet.
 const noAggregator = -1
 
-// An overloadControl is the controller's part in the overload control that the controllers share: the decisions are
-// the member's, the socket is beside the loop. The nil *overloadControl is off.
+// An overloadControl connects this controller to the overload control shared by all controllers. The member makes the
+// decisions on the loop; the socket runs on its own goroutines. A nil *overloadControl is disabled.
 type overloadControl struct {
 	server           *Server
 	options          *config.OverloadControl
 	member           *overload.Member
-	socket           *transport.Conn // nil until the loop runs
+	socket           *transport.Conn // nil until open succeeds
 	keys             [][]byte
-	unreadableAt     time.Duration // when a datagram that could not be read was last logged
+	unreadableAt     time.Duration // time of the last log line about a malformed datagram
 	loggedAggregator int
 }
 
-// newOverloadControl reads the keys and makes the member, which the admission control then asks. Where the platform's
-// settings forbid messages between controllers it logs that and returns nil; so it does where the peers cannot be
-// resolved: the controller then decides alone, as its peers do if need be.
+// newOverloadControl reads the keys, creates the member and registers it with the admission control. If the settings of
+// the platform forbid messages between controllers, or the peers cannot be resolved, it logs that and returns nil: the
+// controller then makes its decisions without its peers.
 func newOverloadControl(s *Server, o *config.OverloadControl, engine *admission.Engine) (*overloadControl, error) {
 	if s.cfg.PeerMessagesForbidden {
-		s.loop.Log.Warnw("share_off", "why", "the settings do not permit messages between controllers")
+		s.loop.Log.Warnw("share_off", "why", "the settings forbid messages between controllers")
 		return nil, nil
 	}
 	number, err := o.ResolvePeers(s.cfg)
@@ -74,7 +74,8 @@
 	return c, nil
 }
 
-// open opens the socket once the loop runs. Without it the controller decides alone, and logs that.
+// open opens the socket. It is called when the loop has started. A failure is logged, and the controller then makes its
+// decisions without its peers.
 func (c *overloadControl) open() {
 	if c == nil {
 		return
@@ -96,7 +97,7 @@
 		"peers", len(c.options.Peers), "signed", len(c.keys) > 0)
 }
 
-// receive handles the datagrams that have arrived.
+// receive processes the datagrams that have arrived.
 func (c *overloadControl) receive() {
 	now := c.server.loop.Now()
 	for _, d := range c.socket.Receive() {
@@ -108,10 +109,10 @@
 	}
 }
 
-// isOpen reports whether the controller takes part.
+// isOpen reports whether the controller exchanges messages with its peers.
 func (c *overloadControl) isOpen() bool { return c != nil && c.socket != nil }
 
-// nextDeadline returns when tick is due.
+// nextDeadline returns the time at which tick must be called.
 func (c *overloadControl) nextDeadline() time.Duration {
 	if !c.isOpen() {
 		return math.MaxInt64
@@ -119,7 +120,7 @@
 	return c.member.NextDeadline()
 }
 
-// tick sends what is due.
+// tick sends the datagrams that are due and logs a change of the aggregator.
 func (c *overloadControl) tick(now time.Duration) {
 	if !c.isOpen() {
 		return
@@ -140,8 +141,8 @@
 	}
 }
 
-// ReloadKeys reads the keys of the messages between controllers again, as SIGHUP asks for. A bad file is logged and
-// changes nothing. It may be called from anywhere once the server has started.
+// ReloadKeys reads the keys that sign messages between controllers again, as requested by SIGHUP. An invalid file is
+// logged and changes nothing. It may be called from any goroutine once the server has started.
 func (s *Server) ReloadKeys() {
 	c := s.overload
 	if !c.isOpen() || c.options.Keys == "" {
@@ -158,7 +159,7 @@
 	s.loop.Log.Infow("reloaded", "keys", len(keys))
 }
 
-// audit returns the state of the member as one node.
+// audit returns the state of the member as a node.
 func (c *overloadControl) audit() []*h248.Node {
 	if c == nil {
 		return nil
@@ -173,7 +174,7 @@
 	})}
 }
 
-// report writes the counters.
+// report logs the counters.
 func (c *overloadControl) report() {
 	if !c.isOpen() {
 		return
