--- a/internal/server/recorder.go
+++ b/internal/server/recorder.go
@@ -13,33 +13,33 @@
 	"olivedale/internal/record"
 )
 
-// Times of the recorder.
+// Intervals and timeouts of the recorder.
 const (
-	// checkInterval is the time between two looks at the limits that were met and at the clocks.
+	// checkInterval is the interval between checks of the limit counters and the clocks.
 	checkInterval = time.Second
-	// countersInterval is the time between two records of the counters, which are also recorded at the end.
+	// countersInterval is the interval between records of the call counters, which are also recorded at the end.
 	countersInterval = 30 * time.Second
-	// minClockDrift: a clock reading is recorded if it differs by more from the last.
+	// minClockDrift: the clock offset is recorded if it differs from the last record by more than this.
 	minClockDrift = 2 * time.Millisecond
-	// closeTimeout is how long the disk may take at an orderly end for what is queued.
+	// closeTimeout bounds the time for writing queued records to disk at an orderly shutdown.
 	closeTimeout = 250 * time.Millisecond
 )
 
-// A recorder writes what happens to the store of records. It runs on the event loop and never waits: the store's queue
-// takes a record or counts it as lost. The nil *recorder is off.
+// A recorder writes events to the record log. It runs on the event loop and never blocks: the queue of the log accepts
+// a record or counts it as lost. A nil *recorder is disabled.
 type recorder struct {
 	server             *Server
 	log                *record.Log
-	current            record.Record // the one at hand; Put keeps nothing of it
+	current            record.Record // reused for each record; Put does not retain it
 	checkedAt          time.Duration
 	countersRecordedAt time.Duration
-	lastClockOffset    time.Duration  // of the system's clock when it was last recorded
-	lastCounts         map[string]int // counters of limits when they were last recorded
+	lastClockOffset    time.Duration  // offset of the system clock that was last recorded
+	lastCounts         map[string]int // limit counters that were last recorded
 }
 
 var _ call.Observer = (*recorder)(nil)
 
-// newRecorder opens the store and records the start. It fails where the folder cannot be used.
+// newRecorder opens the record log and records the start and the settings. It fails if the folder cannot be used.
 func newRecorder(s *Server, o *config.Records, program string) (*recorder, error) {
 	log, found, err := record.Open(record.Options{
 		Dir:          o.Dir,
@@ -67,7 +67,8 @@
 	return w, nil
 }
 
-// logRecordsState logs that records cannot be written, or can again. It may be called from anywhere.
+// logRecordsState logs that records cannot be written, or that they can be written again. It may be called from any
+// goroutine.
 func (s *Server) logRecordsState(dir string, err error) {
 	if err != nil {
 		s.loop.Log.Warnw("records_failed", "dir", dir, "err", err)
@@ -76,8 +77,7 @@
 	}
 }
 
-// recordSettings records the settings in force. An analysis needs to know what is late, and how long a slow start
-// takes.
+// recordSettings records the active settings. An analysis needs the latency objectives and the length of a slow start.
 func (w *recorder) recordSettings() {
 	settings := w.server.cfg.Settings
 	w.recordConfig("settings", newSettingsRecord(settings))
@@ -97,7 +97,7 @@
 	w.put()
 }
 
-// begin returns an empty record of now, which put writes.
+// begin resets the current record to the given kind and the current time and returns it. put writes it.
 func (w *recorder) begin(k record.Kind) *record.Record {
 	w.current = record.Record{Kind: k, At: w.server.loop.Now()}
 	return &w.current
@@ -105,13 +105,13 @@
 
 func (w *recorder) put() { w.log.Put(&w.current) }
 
-// recordConfig records what is in force, with a digest of its text.
+// recordConfig records an active configuration value as text, with the digest of that text.
 func (w *recorder) recordConfig(name string, v any) {
 	text := fmt.Sprintf("%+v", v)
 	w.recordConfigVersion(name, fmt.Sprintf("%016x", xxhash.Sum64String(text)), text)
 }
 
-// recordConfigVersion records what is in force and has a digest of its own.
+// recordConfigVersion records an active configuration value that has its own digest.
 func (w *recorder) recordConfigVersion(name, digest, text string) {
 	if w == nil {
 		return
@@ -122,7 +122,7 @@
 	w.put()
 }
 
-// rateLimitChanged records the rate limit of an exchange; +Inf is none.
+// rateLimitChanged records the rate limit of an exchange. +Inf means no limit.
 func (w *recorder) rateLimitChanged(c admission.RateLimitChanged) {
 	if w == nil {
 		return
@@ -134,7 +134,7 @@
 	w.put()
 }
 
-// recordNote records a message of the admission control.
+// recordNote records a message from the admission control.
 func (w *recorder) recordNote(text string) {
 	if w == nil {
 		return
@@ -165,7 +165,7 @@
 	w.put()
 }
 
-// recordStopping records that a shutdown was asked for.
+// recordStopping records that a shutdown was requested.
 func (w *recorder) recordStopping() {
 	if w == nil {
 		return
@@ -174,8 +174,8 @@
 	w.put()
 }
 
-// tick records, once in checkInterval, what is too frequent to be recorded one by one: what limits have rejected, and
-// the clocks.
+// tick records, once per checkInterval, what is too frequent for individual records: the limit counters and the clocks.
+// The call counters follow once per countersInterval.
 func (w *recorder) tick(now time.Duration) {
 	if w == nil || now-w.checkedAt < checkInterval {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-// recordClockOffset records how far the system's clock is from the loop's, if that has changed.
+// recordClockOffset records the offset between the system clock and the clock of the loop if it has changed.
 func (w *recorder) recordClockOffset(now time.Duration) {
 	offset := w.server.loop.SystemTime() - now
 	if offset-w.lastClockOffset <= minClockDrift && w.lastClockOffset-offset <= minClockDrift {
@@ -207,7 +207,7 @@
 	w.put()
 }
 
-// recordLimit records by how much a counter has grown.
+// recordLimit records the increase of a limit counter since its last record.
 func (w *recorder) recordLimit(name string, count int) {
 	if increase := count - w.lastCounts[name]; increase > 0 {
 		r := w.begin(record.KindLimitReached)
@@ -218,7 +218,7 @@
 	w.lastCounts[name] = count
 }
 
-// recordCounters records the counters of calls, by which an analysis can be checked.
+// recordCounters records the call counters, against which an analysis can be checked.
 func (w *recorder) recordCounters() {
 	c := &w.server.calls.Counters
 	for _, counter := range [...]struct {
@@ -245,7 +245,7 @@
 	}
 }
 
-// recordClockStamps records an exchange of time stamps with a peer.
+// recordClockStamps records the time stamps of a clock comparison with a peer.
 func (w *recorder) recordClockStamps(peer string, stamps [4]int64) {
 	if w == nil {
 		return
@@ -256,7 +256,7 @@
 	w.put()
 }
 
-// close closes the store in good order once the loop has ended.
+// close records the end and closes the record log. It must be called after the loop has ended.
 func (w *recorder) close() {
 	if w == nil {
 		return
--- a/internal/server/recorder_calls.go
+++ b/internal/server/recorder_calls.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/record"
 )
 
-// recordedDecisions are the kinds of decisions as the stored format numbers them, which must not change.
+// recordedDecisions maps kinds of decisions to their numbers in the record format, which must not change.
 var recordedDecisions = map[admission.DecisionKind]record.Decision{
 	admission.DecisionNone:   record.DecisionNone,
 	admission.DecisionSend:   record.DecisionSend,
@@ -17,7 +17,7 @@
 	admission.DecisionCancel: record.DecisionCancel,
 }
 
-// recordedOutcomes are the outcomes of calls as the stored format numbers them, which must not change.
+// recordedOutcomes maps outcomes of calls to their numbers in the record format, which must not change.
 var recordedOutcomes = [...]record.Outcome{
 	call.Established:          record.OutcomeEstablished,
 	call.Rejected:             record.OutcomeRejected,
@@ -30,7 +30,7 @@
 	call.RejectedByPolicy:     record.OutcomeByPolicy,
 }
 
-// recordedLimits are the names of limits in records, which must not change.
+// recordedLimits maps limits to their names in the record format, which must not change.
 var recordedLimits = [...]string{
 	call.LimitRepeatedSetup:  "repeated_setup",
 	call.LimitReusedID:       "reused_id",
--- a/internal/server/report.go
+++ b/internal/server/report.go
@@ -6,17 +6,17 @@
 	"olivedale/internal/call"
 )
 
-// malformedLogInterval is the time between two log lines of input that could not be read.
+// malformedLogInterval is the minimum time between two log lines about malformed input.
 const malformedLogInterval = time.Second
 
-// malformedInput counts input that could not be read.
+// malformedInput counts malformed input and limits the log lines about it.
 type malformedInput struct {
 	count    int
-	loggedAt time.Duration // 0: never
+	loggedAt time.Duration // 0 if never
 }
 
-// reportMalformed counts input that could not be read, and logs one a second: a flood must not become one of log
-// lines.
+// reportMalformed counts malformed input and logs at most one line per second, so that a flood of such input does not
+// flood the log.
 func (s *Server) reportMalformed(source string, err error) {
 	m := &s.malformed
 	m.count++
@@ -30,7 +30,7 @@
 // ReportSoon writes the counters. It may be called from anywhere once the server has started.
 func (s *Server) ReportSoon() { s.loop.Execute(s.Report) }
 
-// Report writes the counters, on the loop or once that has ended.
+// Report logs the counters. It must be called on the loop or after the loop has ended.
 func (s *Server) Report() {
 	s.reportCalls()
 	s.reportConnections()
--- a/internal/server/settings_record.go
+++ b/internal/server/settings_record.go
@@ -6,9 +6,9 @@
 	"olivedale/internal/admission"
 )
 
-// settingsRecord is the form in which the store keeps the settings in force: its printed text and the digest of
-// that text are stored bytes. Names and order of the fields here must therefore never change, whatever the
-// fields of admission.Settings are called.
+// settingsRecord is the stored form of the active settings. Its printed text and the digest of that text are written to
+// the record log, so the names and the order of the fields must never change, even if the fields of admission.Settings
+// are renamed.
 type settingsRecord struct {
 	GroupSize   int
 	Topology    string
@@ -24,7 +24,7 @@
 	Multiple    float64
 }
 
-// classRecord is one class of a settingsRecord.
+// classRecord is the stored form of one class in a settingsRecord. The same restriction applies.
 type classRecord struct {
 	Name      string
 	Aim       time.Duration
