--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,7 @@
-// Package server is the running call controller: it wires the frontends, the backends, the discovery service and the
-// optional parts to the event loop, and owns the life cycle from the start to the orderly shutdown. One goroutine, the
-// event loop, owns everything here, and it never blocks. The package decides nothing about calls.
+// Package server implements the running call controller. It connects the frontends, the backends, the discovery client
+// and the optional components to the event loop, and manages the life cycle from the start to the orderly shutdown. All
+// state belongs to the goroutine of the event loop, which never blocks. Decisions about calls are made by other
+// packages.
 package server
 
 import (
@@ -22,19 +23,19 @@
 	"olivedale/internal/frontend/jsonclient"
 )
 
-// reservedSockets are descriptors that are neither callers' nor exchanges'.
+// reservedSockets is the number of descriptors that are used neither for callers nor for exchanges.
 const reservedSockets = 40
 
-// maxProbesShift bounds the probes of exchanges, as a shift of the descriptors: those that reservedSockets, callers and
-// exchanges leave are more.
+// maxProbesShift bounds the concurrent probes of exchanges, as a shift of the number of descriptors. That is less than
+// what reservedSockets, callers and exchanges leave.
 const maxProbesShift = 3
 
-// Bounds by the memory of the process, as shifts of its megabytes.
+// Bounds that depend on the memory of the process, as shifts of its size in megabytes.
 const (
 	maxOpenCallsShift        = 6
 	maxDescriptionBytesShift = 17
 	maxCompletedIDsShift     = 7
-	unreadBytesShift         = 17 // an eighth of the memory, for all callers that do not read
+	unreadBytesShift         = 17 // an eighth of the memory, shared by all callers that do not read their answers
 )
 
 // A Server is a running call controller.
@@ -42,7 +43,7 @@
 	gnet.BuiltinEventEngine
 
 	cfg       *config.Config
-	h248      *config.H248 // nil: off
+	h248      *config.H248 // nil if the H.248 frontend is disabled
 	loop      *eventloop.Loop
 	random    *rand.Rand
 	calls     *call.Manager
@@ -53,22 +54,22 @@
 	listeners *listeners
 	lifecycle lifecycle
 	malformed malformedInput
-	pollAt    time.Duration // when to poll the discovery service next
+	pollAt    time.Duration // time of the next periodic poll
 
-	recorder  *recorder        // nil: off
-	metrics   *metrics         // nil: nobody may ask
-	numbering *numberRouter    // nil: off
-	overload  *overloadControl // nil: off
+	recorder  *recorder        // nil if disabled
+	metrics   *metrics         // nil if there is no admin address
+	numbering *numberRouter    // nil if disabled
+	overload  *overloadControl // nil if disabled
 }
 
-// frontends are the frontends that are on.
+// frontends are the enabled frontends.
 type frontends struct {
-	host    *frontend.Host // what they share
+	host    *frontend.Host // state shared by the frontends
 	json    *jsonclient.Frontend
-	gateway *gateway.Frontend // nil: off
+	gateway *gateway.Frontend // nil if disabled
 }
 
-// all returns the frontends that are on.
+// all returns the enabled frontends.
 func (f *frontends) all() []frontend.Frontend {
 	if f.gateway == nil {
 		return []frontend.Frontend{f.json}
@@ -76,21 +77,21 @@
 	return []frontend.Frontend{f.json, f.gateway}
 }
 
-// Options are what an operator chooses. The zero value is the call controller alone.
+// Options holds the optional components and dependencies of a server. The zero value disables all components.
 type Options struct {
-	H248      *config.H248            // nil: its frontend is off
-	Records   *config.Records         // nil: nothing is recorded
-	Numbering *config.Numbering       // nil: calls go by their preferred pool
-	Overload  *config.OverloadControl // nil: the controller decides alone
-	Log       *zap.Logger             // nil: nothing is logged
-	Program   string                  // version, for the records
-	Clock     func() time.Time        // the system's; nil: time.Now
+	H248      *config.H248            // nil disables the H.248 frontend
+	Records   *config.Records         // nil disables records
+	Numbering *config.Numbering       // nil routes calls by their preferred pool
+	Overload  *config.OverloadControl // nil disables messages between controllers
+	Log       *zap.Logger             // nil disables logging
+	Program   string                  // program version, written to the records
+	Clock     func() time.Time        // system clock; nil means time.Now
 
-	decider call.Decider   // replaces the admission control in tests; nil: the admission control
-	dial    backend.Dialer // replaces the dialer in tests; nil: backend.DialTCP
+	decider call.Decider   // replaces the admission control in tests if not nil
+	dial    backend.Dialer // replaces backend.DialTCP in tests if not nil
 }
 
-// withDefaults returns the options with the log and the clock set.
+// withDefaults returns the options with defaults for a missing logger or clock.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -101,7 +102,8 @@
 	return o
 }
 
-// New makes a server from its configuration. It opens the records and reads the table of numbers; Run does the rest.
+// New creates a server from its configuration. It opens the record log and reads the numbering table. Run starts
+// everything else.
 func New(cfg *config.Config, o Options) (*Server, error) {
 	o = o.withDefaults()
 	s := &Server{
@@ -141,7 +143,7 @@
 	return s, nil
 }
 
-// newAdmission returns the admission control, whose messages are logged and recorded.
+// newAdmission returns the admission control. Its messages are logged and recorded.
 func (s *Server) newAdmission() (*admission.Engine, error) {
 	return admission.NewEngine(s.loop.Now(), s.cfg.Settings, s.cfg.Seed, func(line string) {
 		s.loop.Log.Infow("module", "text", line)
@@ -149,7 +151,7 @@
 	})
 }
 
-// decider returns what decides on calls: the admission control, unless a test replaces it.
+// decider returns the component that makes decisions about calls: the admission control, unless a test replaces it.
 func decider(o Options, engine *admission.Engine) call.Decider {
 	if o.decider != nil {
 		return o.decider
@@ -157,7 +159,7 @@
 	return engine
 }
 
-// addOptionalParts adds what the operator's file asks for.
+// addOptionalParts adds the components that the operator has configured.
 func (s *Server) addOptionalParts(o Options, engine *admission.Engine) error {
 	if err := s.addObservers(o, engine); err != nil {
 		return err
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// addObservers adds the observers of calls: the recorder, and the metrics where there is an admin address.
+// addObservers adds the configured observers of calls: the recorder, and the metrics if there is an admin address.
 func (s *Server) addObservers(o Options, engine *admission.Engine) error {
 	var observer call.Observer
 	if o.Records != nil {
@@ -206,7 +208,7 @@
 	return nil
 }
 
-// addFrontends adds the frontends, which share the budget of sockets.
+// addFrontends adds the enabled frontends, which share the socket budget.
 func (s *Server) addFrontends() {
 	host := &frontend.Host{
 		Loop:            s.loop,
@@ -232,7 +234,7 @@
 	s.backends.Attach(s.calls, callFrontends...)
 }
 
-// addBackends adds the exchanges that are known from the configuration.
+// addBackends adds the exchanges that are listed in the configuration.
 func (s *Server) addBackends() error {
 	var known []config.Endpoint
 	s.resolver, known = discovery.NewResolver(s.cfg.KnownEndpoints)
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// gnetLog passes gnet's errors on and drops the rest.
+// gnetLog forwards the error messages of gnet to the log and drops all others.
 type gnetLog struct{ log *zap.SugaredLogger }
 
 func (gnetLog) Debugf(string, ...any) {}
