--- a/internal/server/backends_test.go
+++ b/internal/server/backends_test.go
@@ -14,8 +14,8 @@
 	"olivedale/internal/codec/sip"
 )
 
-// A set-up waits for a dial. Its caller leaves, by a cancellation, by closing its connection, or because its time runs
-// out in the very iteration in which the dial completes: nothing is sent on.
+// A set-up is queued for a dial and ends before the dial completes: the caller cancels it, closes its connection, or
+// the set-up times out in the same iteration in which the dial completes. Nothing may be sent to the exchange.
 func TestDialCompletesAfterCallerLeft(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"gives up", "closes", "runs out"} {
@@ -44,7 +44,7 @@
 				bed.awaitQueuedSetups(0)
 				close(gate)
 			} else {
-				bed.runIteration(func() { // the connection is handed to the loop while that is blocked, and before its timer
+				bed.runIteration(func() { // the loop is blocked while the connection is passed to it, ahead of the timer
 					until := bed.server.loop.Now() + 450*time.Millisecond
 					close(gate)
 					for bed.server.loop.Now() < until {
@@ -63,7 +63,7 @@
 			last := bed.caller.setUp("1", 2*time.Second)
 			exchange.awaitReceived("INVITE", last, 1)
 			if n := exchange.countReceived("INVITE", id) + exchange.countReceived("CANCEL", id); n != 0 {
-				t.Errorf("%d messages of a set-up whose caller had left", n)
+				t.Errorf("the exchange received %d messages for a set-up whose caller had left, want none", n)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	answers.await(t, key, 1)
 	server.discovery.mu.Lock()
 	lines := append([]endpointLine(nil), server.discovery.lines...)
-	server.discovery.queriesToDrop = 2 // lost on the way: the query is repeated
+	server.discovery.queriesToDrop = 2 // lost queries are repeated
 	server.discovery.mu.Unlock()
 	lines[0].draining = true
 	server.discovery.set(lines...)
@@ -94,15 +94,15 @@
 	before := invited()
 	answers.await(t, client.setUp("keep.2", 4*time.Second), 1)
 	if n := invited(); n != before {
-		t.Errorf("%d set-ups went to a server that drains", n-before)
+		t.Errorf("%d set-ups were sent to a draining exchange", n-before)
 	}
 	server.discovery.set(lines[1])
 	if got := answers.await(t, key, 2); got != "stands "+acceptedDescription("keep.1")+" end 41" {
-		t.Errorf("the call at the server that is gone: %q", got)
+		t.Errorf("the call at the removed exchange: got %q", got)
 	}
 }
 
-// A process that dies drops its calls: its connection is reset and nobody listens.
+// An exchange process dies: its connection is reset and it no longer listens. Its calls are released.
 func TestDeadExchangeDropsItsCalls(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false, false), newAnswerLog()
@@ -114,12 +114,12 @@
 		t.Errorf("got %q", got)
 	}
 	if got := answers.await(t, client.setUp("keep.2", 4*time.Second), 1); got != "stands "+acceptedDescription("keep.2") {
-		t.Errorf("the next call: %q", got)
+		t.Errorf("the next call: got %q", got)
 	}
 }
 
-// A connection to an exchange that stops within an answer, or brings nothing any more, and stays open is replaced by a
-// new one; the attempts on it end.
+// A connection to an exchange delivers only part of an answer, or nothing any more, but stays open. It is replaced by a
+// new connection, and the attempts on it end.
 func TestUnresponsiveExchangeIsRedialed(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"half", "mute"} {
@@ -130,23 +130,24 @@
 			stood := client.setUp("keep.1", 5*time.Second)
 			answers.await(t, stood, 1)
 			client.setUp(kind+".1", 200*time.Millisecond)
-			eventually(t, "the link is dialled anew", func() bool {
+			eventually(t, "the exchange is dialed again", func() bool {
 				serial := make(chan int, 1)
 				server.server.loop.Execute(func() { serial <- server.server.backends.Get("s-0").DialSerial() })
 				return <-serial > first
 			})
-			eventually(t, "there is service", func() bool {
+			eventually(t, "a call is established", func() bool {
 				return strings.HasPrefix(answers.await(t, client.setUp("keep.2", 5*time.Second), 1), "stands")
 			})
 			if got := answers.of(stood); got != "stands "+acceptedDescription("keep.1") {
-				t.Errorf("the call that stood: %q", got) // it belongs to no connection
+				t.Errorf("the established call: got %q", got) // established calls do not depend on a connection
 			}
 		})
 	}
 }
 
-// An exchange reads nothing and its output waits here: a set-up is not left in that buffer, where nothing could take
-// it back. It goes elsewhere, and its caller leaves: when the exchange reads on, it receives nothing of that call.
+// An exchange stops reading, so output accumulates in the write buffer of its connection. A set-up must not be added to
+// that buffer, from which it cannot be withdrawn; it is sent to another exchange. When its caller leaves and the first
+// exchange reads again, the first exchange receives nothing for that call.
 func TestSetupIsNotLeftInWriteBuffer(t *testing.T) {
 	t.Parallel()
 	first, second := startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")
@@ -168,7 +169,7 @@
 		}
 	})
 	id := bed.caller.setUp("1", 3*time.Second)
-	eventually(t, "the attempt is out", func() (out bool) {
+	eventually(t, "the attempt is sent", func() (out bool) {
 		bed.runIteration(func() {
 			out = bed.server.backends.Get("s-0").OpenAttempts()+bed.server.backends.Get("s-1").OpenAttempts() > 0
 		})
@@ -177,7 +178,7 @@
 	bed.caller.hangUp(id)
 	bed.awaitNoPendingWork()
 	go first.readFrom(first.awaitConn())
-	eventually(t, "the buffer is empty", func() (empty bool) {
+	eventually(t, "the write buffer is empty", func() (empty bool) {
 		bed.runIteration(func() { empty = bed.server.backends.Get("s-0").Connection().Socket().OutboundBuffered() == 0 })
 		return empty
 	})
@@ -185,14 +186,14 @@
 	last := bed.caller.setUp("1", 3*time.Second)
 	first.awaitReceived("INVITE", last, 1)
 	if n := first.countReceived("INVITE", id); n != 0 {
-		t.Fatalf("%d set-ups of a caller that had left", n)
+		t.Fatalf("the exchange received %d set-ups of a caller that had left, want none", n)
 	}
 	second.awaitReceived("CANCEL", id, 1)
 }
 
-// The process was stopped, and an answer came meanwhile on a connection that looks unresponsive or stalled within a
-// message once the process goes on, or that is to be closed for a new address: the answer counts, and the call is
-// tried nowhere else.
+// The process is suspended, and an answer arrives meanwhile. When the process resumes, the connection appears
+// unresponsive, appears stalled within a message, or is about to be closed because its address has changed. The answer
+// must still be processed, and no second attempt may start.
 func TestAnswerWhileProcessWasStopped(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"mute", "half way", "moved"} {
@@ -225,14 +226,14 @@
 			}
 			bed.awaitNoPendingWork()
 			if n := len(bed.decider.results(id)); n != 0 {
-				t.Errorf("%d ends of attempts of a call that stands", n)
+				t.Errorf("%d attempts of an established call were reported as ended", n)
 			}
 		})
 	}
 }
 
-// Pieces of an exchange's input each bring the rest of one message and part of the next, for longer than the rest of
-// one may take: the connection stays. Where no message is completed any more it is closed.
+// Each segment of an exchange's input ends within a message, for longer than the timeout for partial messages. The
+// connection stays open as long as each segment completes a message, and is closed when none is completed any more.
 func TestInputThatEndsWithinMessages(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, &scriptedDecider{})
@@ -246,7 +247,7 @@
 			l.CheckResponsiveness(bed.server.loop.Now())
 		}
 		if l.Connection() != s {
-			t.Error("a connection that brings whole messages was closed")
+			t.Error("a connection that delivers complete messages was closed")
 		}
 		for range 5 {
 			time.Sleep(backend.PartialMessageTimeout * 3 / 4)
@@ -254,21 +255,21 @@
 			l.CheckResponsiveness(bed.server.loop.Now())
 		}
 		if l.Connection() == s {
-			t.Error("a connection that brings nothing whole stays")
+			t.Error("a connection that delivers no complete message is still open")
 		}
 	})
 }
 
-// An earlier attempt was released at an exchange that confirms nothing, and a later one is established there, under
-// the same id. When the connection breaks and is dialled again, the old release is not sent again: it would end the
-// call.
+// An attempt is released at an exchange that does not confirm the release, and a later attempt of the same call, with
+// the same id, is established there. When the connection breaks and is dialed again, the old release must not be
+// repeated, because it would end the call.
 func TestOldReleaseDoesNotEndLaterAttempt(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{retryDelay: retryGuard, servers: []string{"s-0", "s-0", "s-0"}})
 	id := bed.caller.setUp("1", 5*time.Second)
 	exchange.awaitReceived("INVITE", id, 1)
-	bed.runIteration(func() { // its answer crosses our cancellation
+	bed.runIteration(func() { // the answer crosses the cancellation
 		bed.server.calls.AttemptEnded("s-0", id, 0, call.TimedOut)
 		bed.server.backends.Get("s-0").Cancel(id, 0)
 		bed.deliver(0, sipResponse(id, "INVITE", 200, 1, "late"))
@@ -283,16 +284,16 @@
 	last := bed.caller.setUp("1", 3*time.Second)
 	exchange.awaitReceived("INVITE", last, 1)
 	if n := exchange.countReceived("BYE", id); n != 1 {
-		t.Errorf("%d releases of a call that stands", n-1)
+		t.Errorf("the old release was repeated %d times for an established call", n-1)
 	}
-	bed.caller.hangUp(id) // its own release is sent, and again on the next connection
+	bed.caller.hangUp(id) // the release of the call itself is sent, and repeated on the next connection
 	exchange.awaitReceived("BYE", id, 2)
 	resetConn(exchange.awaitConn())
 	exchange.awaitReceived("BYE", id, 3)
 }
 
-// An exchange drains while a set-up is queued for its dial, and in the iteration of the set-up: the set-up goes
-// elsewhere.
+// An exchange starts to drain while a set-up is queued for its dial, or in the same iteration as the set-up. The set-up
+// must not be sent to it.
 func TestDrainWhileSetupIsQueued(t *testing.T) {
 	t.Parallel()
 	first, second := startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")
@@ -318,25 +319,25 @@
 	if got := bed.answers.await(t, id, 1); got != "stands b" {
 		t.Error(got)
 	}
-	bed.runIteration(func() { // the set-up is decided, and the drain read, before the iteration ends
+	bed.runIteration(func() { // the drain is processed after the decision on the set-up, in the same iteration
 		bed.findClient("").HandleData(jsonSetup(testCallID, time.Second))
 		bed.server.backends.Get("s-1").Drain()
 	})
 	bed.awaitNoPendingWork()
 	if first.countReceived("INVITE", id)+second.countReceived("INVITE", testCallID) != 0 {
-		t.Error("a set-up went to an exchange that drains")
+		t.Error("a set-up was sent to a draining exchange")
 	}
 }
 
-// A new exchange has the address of one that drains or is gone. The old one is not dialled there, and a release of the
-// new one that arrives on a connection made for the old one ends its call.
+// A new exchange takes over the address of a draining or removed one. The old exchange is not dialed at that address
+// any more, and a release from the new exchange that arrives on a connection of the old one ends the call.
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	addr := exchange.addr()
 	bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-1", "s-1"}})
 	exchange.stop()
-	b := startFakeExchange(t, addr) // the old one is redialled, and reaches the new process before the list names that
+	b := startFakeExchange(t, addr) // the redial of s-0 reaches the new process before the list contains it
 	old := b.awaitConn()
 	bed.exchanges = append(bed.exchanges, b)
 	bed.discovery.set(endpointLine{id: "s-0", addr: addr, draining: true}, endpointLine{id: "s-1", addr: addr, started: time.Now().UnixMilli()})
@@ -363,12 +364,12 @@
 	dials := len(b.conns)
 	b.mu.Unlock()
 	if dials != 2 {
-		t.Errorf("%d connections to the new one, the old link's and its own are wanted", dials)
+		t.Errorf("%d connections to the new exchange, want 2: the redial of the old exchange and its own", dials)
 	}
 }
 
-// An exchange is taken off the list and lives on: it is notified of the end of the calls whose callers are notified of
-// it. Under the same id it is another one when it is added again.
+// An exchange is removed from the list but keeps running: it receives releases for the calls whose callers are told
+// that they have ended. An exchange that is added later under the same id is treated as a different one.
 func TestExchangeRemovedAndAddedAgain(t *testing.T) {
 	t.Parallel()
 	first, second := startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")
@@ -387,29 +388,29 @@
 	eventually(t, "the attempt has ended", func() bool { return len(bed.decider.results(open)) == 1 })
 	bed.discovery.set(endpointLine{id: "s-0", addr: second.addr(), started: time.Now().UnixMilli()})
 	bed.awaitConnected(0)
-	second.awaitReceived("INVITE", open, 1) // once the retry guard is over
+	second.awaitReceived("INVITE", open, 1) // after the retry guard
 	bed.exchanges[0] = second
 	bed.runIteration(func() { bed.deliver(0, sipResponse(open, "INVITE", 200, 2, "b")) })
 	if got := bed.answers.await(t, open, 1); got != "stands b" {
 		t.Error(got)
 	}
 	if n := len(bed.decider.results(open)); n != 1 {
-		t.Errorf("%d ends of attempts of a call that stands", n)
+		t.Errorf("%d attempts of an established call were reported as ended, want 1", n)
 	}
 	if c := bed.decider.results(open)[0]; c == admission.ResultServerBusy || c == admission.ResultNotSent || c == admission.ResultDialFailed {
-		t.Errorf("an attempt that was out counts as one that never ran: %v", c)
+		t.Errorf("an attempt that was sent is reported as one that never ran: %v", c)
 	}
 }
 
-// An exchange that says that it drains gets nothing new from then on; one that is out of service has lost its calls,
-// and one that returns is used again.
+// An exchange announces service changes: after a graceful one it gets no new calls, after a forced one its calls are
+// released, and after a restart it is used again.
 func TestServerServiceChange(t *testing.T) {
 	server, answers := startTestServer(t, true, true), newAnswerLog()
 	client := dialGatewayCaller(t, server.gatewayAddress(), answers, "<p>")
 	key := client.setUp("keep.1", 4*time.Second)
 	answers.await(t, key, 1)
 	id := uint32(100)
-	say := func(method string) {
+	sendServiceChange := func(method string) {
 		id++
 		b, err := h248.AppendFrame(nil, &h248.Message{MID: "<server>", Transactions: []*h248.Transaction{{ID: id,
 			Actions: []*h248.Action{{Context: "-", Commands: []*h248.Command{{Name: "ServiceChange", Termination: "ROOT",
@@ -433,19 +434,19 @@
 		defer server.exchanges[0].mu.Unlock()
 		return fmt.Sprint(server.exchanges[0].invited)
 	}
-	say("Graceful")
-	eventually(t, "it drains", draining)
+	sendServiceChange("Graceful")
+	eventually(t, "the exchange is draining", draining)
 	before := invites()
 	if got := answers.await(t, client.setUp("keep.2", 4*time.Second), 1); got != "stands "+acceptedDescription("keep.2") {
-		t.Errorf("while one server drains: %q", got)
+		t.Errorf("a call while one exchange is draining: got %q", got)
 	}
-	say("Forced")
+	sendServiceChange("Forced")
 	if got := answers.await(t, key, 2); got != "stands "+acceptedDescription("keep.1")+" end 41" {
-		t.Errorf("the call at the server that is out: %q", got)
+		t.Errorf("the call at the exchange out of service: got %q", got)
 	}
 	if got := invites(); got != before {
-		t.Errorf("invited %s times, %s before it drained", got, before)
+		t.Errorf("the exchange received %s set-ups, want %s as before the drain", got, before)
 	}
-	say("Restart")
-	eventually(t, "it is back", func() bool { return !draining() })
+	sendServiceChange("Restart")
+	eventually(t, "the exchange is in service again", func() bool { return !draining() })
 }
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -13,19 +13,19 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// A testCaller is a caller of either protocol.
+// A testCaller is a caller that uses either protocol.
 type testCaller interface {
 	setUp(number string, left time.Duration) (key string)
 	hangUp(key string)
 	close()
 }
 
-// answerLog is what callers were answered, by key and in order.
+// answerLog records the answers that callers receive, by key and in order.
 type answerLog struct {
 	mu       sync.Mutex
 	byKey    map[string][]string
 	changed  chan struct{}
-	onAnswer func(key, what string) // if set, before the first answer
+	onAnswer func(key, what string) // called for each answer if not nil; must be set before the first one
 }
 
 func newAnswerLog() *answerLog {
@@ -51,7 +51,7 @@
 	return strings.Join(h.byKey[key], " ")
 }
 
-// await waits until so many answers have come under a key.
+// await waits until n answers have been received under a key, and returns them.
 func (h *answerLog) await(t testing.TB, key string, n int) string {
 	t.Helper()
 	end := time.After(6 * time.Second)
@@ -66,7 +66,7 @@
 		case <-h.changed:
 		case <-time.After(20 * time.Millisecond):
 		case <-end:
-			t.Fatalf("%s got %q, want %d things", key, h.of(key), n)
+			t.Fatalf("%s received %q, want %d answers", key, h.of(key), n)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 	lastID       uint32
 	mu           sync.Mutex
 	contexts     map[string]string // by termination
-	replies      map[uint32]int    // replies to a transaction
-	acknowledges bool              // it acknowledges replies, set before its first call
+	replies      map[uint32]int    // number of replies by transaction
+	acknowledges bool              // whether it acknowledges replies; must be set before the first call
 }
 
 func dialGatewayCaller(t testing.TB, addr string, answers *answerLog, mid string) *gatewayCaller {
@@ -191,7 +191,7 @@
 		for _, a := range t.Actions {
 			if a.Err != nil {
 				what := fmt.Sprint("error ", a.Err.Code)
-				switch a.Err.Code { // as the callers of the other protocol get it
+				switch a.Err.Code { // mapped to what a JSON caller receives
 				case h248.InsufficientResources:
 					what = "end 34"
 				case h248.TemporaryFailure:
@@ -228,7 +228,7 @@
 	}
 }
 
-// addTransaction returns a set-up on the termination that is the transaction's key.
+// addTransaction returns a set-up on the termination named key.
 func addTransaction(key string, id uint32, number string, left time.Duration) *h248.Transaction {
 	state := &h248.Node{Name: "TerminationState", Children: []*h248.Node{{Name: "oc/class", Value: "voice"}, {Name: "oc/first", Value: "0"},
 		{Name: "oc/number", Value: number}, {Name: "oc/left", Value: fmt.Sprint(left.Milliseconds())}}}
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -11,11 +11,10 @@
 	"olivedale/internal/frontend/jsonclient"
 )
 
-// Crossings: two events happen at one moment, and both orders are forced. Data is handed to a connection within an
-// iteration of the loop that the test blocks, so that no order depends on a scheduler.
+// The tests in this file check races between two events. Each order of the two is forced: the test passes the data to a
+// connection within one iteration of the event loop, so that the order does not depend on the scheduler.
 
-// A caller cancels its set-up in the iteration in which it arrived: it is not sent at all, whether the exchange is
-// connected or still dialled.
+// A caller cancels its set-up in the same iteration in which it arrives. The set-up is not sent at all.
 func TestCancelInTheIterationOfTheSetup(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, &scriptedDecider{servers: []string{"s-0", "s-0"}})
@@ -24,16 +23,16 @@
 	})
 	bed.awaitNoPendingWork()
 	bed.runIteration(func() { bed.findClient("").HandleData(jsonSetup("00000000000000ab", 300*time.Millisecond)) })
-	bed.exchanges[0].awaitReceived("INVITE", "00000000000000ab", 1) // what came behind it has arrived
+	bed.exchanges[0].awaitReceived("INVITE", "00000000000000ab", 1) // anything sent earlier has arrived by now
 	if n := bed.exchanges[0].countReceived("INVITE", testCallID) + bed.exchanges[0].countReceived("CANCEL", testCallID); n != 0 {
-		t.Errorf("a set-up whose caller had left brought the exchange %d messages", n)
+		t.Errorf("the exchange received %d messages for a set-up whose caller had left, want none", n)
 	}
 	if codes := bed.decider.results(testCallID); len(codes) != 1 || codes[0] != admission.ResultNotSent {
-		t.Errorf("the decider got %v", codes)
+		t.Errorf("the decider was reported %v", codes)
 	}
 }
 
-// A set-up is cancelled on another connection than its own: nothing of it is left there.
+// A set-up is canceled on a connection other than its own. No state of it remains on either connection.
 func TestCancelOnAnotherConnection(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, &scriptedDecider{servers: []string{"s-0"}})
@@ -44,12 +43,13 @@
 	bed.awaitNoPendingWork()
 }
 
-// An exchange rejects an attempt and a copy of its answer arrives while a later attempt of the call is open there:
-// that one stays the only one, whether the exchange is known to repeat our numbers or not.
+// An exchange rejects an attempt, and a copy of that answer arrives while a later attempt of the same call is open
+// there. If the exchange is known to echo attempt numbers, the copy is ignored; otherwise it may be the answer of the
+// open attempt, which is canceled before the next one starts. In both cases only one attempt is open at a time.
 func TestCopyOfAnswerToEarlierAttempt(t *testing.T) {
 	t.Parallel()
 	for _, repeats := range []bool{true, false} {
-		t.Run(fmt.Sprint("known to repeat ", repeats), func(t *testing.T) {
+		t.Run(fmt.Sprint("echoes attempt numbers ", repeats), func(t *testing.T) {
 			t.Parallel()
 			exchange0, exchange1 := startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")
 			bed := startTestbed(t, []*fakeExchange{exchange0, exchange1}, &scriptedDecider{retryDelay: retryGuard, servers: []string{"s-1", "s-0", "s-0", "s-1", "s-0", "s-1"}})
@@ -78,13 +78,13 @@
 					t.Error(got)
 				}
 				if n := exchange0.countReceived("CANCEL", id) + exchange1.countReceived("INVITE", id); n != 1 {
-					t.Errorf("the copy brought %d messages", n-1)
+					t.Errorf("the copy caused %d messages, want none", n-1)
 				}
 				return
 			}
 			exchange1.awaitReceived("INVITE", id, 2)
 			if took := time.Since(copied); exchange0.countReceived("CANCEL", id) != 1 || took < retryGuard {
-				t.Errorf("the next attempt %v after the copy, %d given up", took, exchange0.countReceived("CANCEL", id))
+				t.Errorf("the next attempt started %v after the copy; %d attempts were canceled", took, exchange0.countReceived("CANCEL", id))
 			}
 			exchange1.send(sipResponse(id, "INVITE", 200, 4, "b"))
 			if got := bed.answers.await(t, id, 1); got != "stands b" {
@@ -94,8 +94,8 @@
 	}
 }
 
-// A copy of an answer arrives for an established call, for a rejected one, and for one that is over and forgotten by
-// the protocol: nobody is answered twice and the established call goes on.
+// Copies of answers arrive for an established call, for a rejected call, and for calls whose protocol state has been
+// discarded. No caller is answered twice, and the established call continues.
 func TestCopiesOfAnswersAreIgnored(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -122,17 +122,17 @@
 		bed.deliver(0, sipResponse(stands, "INVITE", 200, 1, "d"))
 		bed.deliver(0, sipResponse(refused, "INVITE", 200, 1, "e"))
 		if n := bed.server.backends.Get("s-0").RememberedCalls(); n != 0 {
-			t.Errorf("%d dialogs are left", n)
+			t.Errorf("%d dialogs remain, want none", n)
 		}
 	})
 	bed.awaitNoPendingWork()
 	if one, two := bed.answers.of(stands), bed.answers.of(refused); one != "stands a end 16" || two != "end 41" {
-		t.Errorf("the callers got %q and %q", one, two)
+		t.Errorf("the callers received %q and %q", one, two)
 	}
 }
 
-// An exchange answers and its connection breaks. Whether the answer is read before something is written there, or the
-// write fails first, the call is established, once, and is not tried elsewhere.
+// An exchange answers and its connection breaks. Whether the answer is read first or a write fails first, the call is
+// established exactly once, and no other exchange is tried.
 func TestAnswerAndConnectionFailure(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"the answer is read", "a write fails"} {
@@ -155,25 +155,25 @@
 				resetConn(c)
 			}
 			if got := bed.answers.await(t, id, 1); got != "stands a" {
-				t.Errorf("the caller got %q", got)
+				t.Errorf("the caller received %q", got)
 			}
 			if n := exchange0.countReceived("INVITE", id) + exchange1.countReceived("INVITE", id); n != 1 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("%d attempts, want 1", n)
 			}
 			if bed.answers.of(id) != "stands a" {
-				t.Errorf("the caller got %q", bed.answers.of(id))
+				t.Errorf("the caller received %q", bed.answers.of(id))
 			}
 		})
 	}
 }
 
-// A caller's connection ends, in whatever way, as the answer to its set-up arrives: nobody has learned that the call
-// is established, and the exchange is notified that it is over. Half closed counts as closed: the two look the same
-// until something is written, and a set-up of a caller that left must not be sent on.
+// The connection of a caller ends as the answer to its set-up arrives. The caller has not learned that the call is
+// established, so the call is released at the exchange. A half-closed connection counts as closed: the two cannot be
+// distinguished before a write, and a set-up of a caller that has left must not be sent.
 func TestCallerLeavesAsAnswerArrives(t *testing.T) {
 	for _, how := range []string{"reset", "closed", "half closed"} {
 		t.Run(how, func(t *testing.T) {
-			testBothOrders(t, "the end", "the answer", func(t *testing.T, end bool) {
+			testBothOrders(t, "the disconnect", "the answer", func(t *testing.T, end bool) {
 				exchange := startFakeExchange(t, "127.0.0.1:0")
 				bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-0"}})
 				k := bed.dialCaller("cccccccc")
@@ -197,7 +197,7 @@
 					exchange.awaitReceived("BYE", id, 1)
 					return
 				}
-				bed.runIteration(func() { // the connection has ended before the answer is written to it
+				bed.runIteration(func() { // the connection ends before the answer is written
 					leave()
 					bed.deliver(0, sipResponse(id, "INVITE", 200, 1, "a"))
 				})
@@ -205,7 +205,7 @@
 				switch how {
 				case "reset":
 					exchange.awaitReceived("BYE", id, 1)
-				case "half closed": // it gets the answer, and may release the call on another connection
+				case "half closed": // the caller receives the answer and may release the call on another connection
 					if got := bed.answers.await(t, id, 1); got != "stands a" {
 						t.Error(got)
 					}
@@ -213,15 +213,15 @@
 					exchange.awaitReceived("BYE", id, 1)
 				}
 				if n := exchange.countReceived("CANCEL", id); n != 0 {
-					t.Errorf("a call that stands was given up %d times", n)
+					t.Errorf("an established call was canceled %d times", n)
 				}
 			})
 		})
 	}
 }
 
-// The answer of an established call has been written, and its caller's connection breaks later, under another write:
-// the call goes on, because no connection owns it.
+// The connection of a caller breaks on a later write, after the answer of an established call has been written. The
+// call continues, because established calls do not depend on a connection.
 func TestEstablishedCallSurvivesItsConnection(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -236,7 +236,7 @@
 		resetConn(k.conn)
 		bed.server.loop.Write(mine.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
 	})
-	eventually(t, "the connection is gone", func() (gone bool) {
+	eventually(t, "the connection is closed", func() (gone bool) {
 		bed.runIteration(func() { gone = bed.server.frontends.json.Clients().Len() == 1 })
 		return gone
 	})
@@ -251,10 +251,9 @@
 	}
 }
 
-// A set-up and its cancellation come on two connections, and either may be read first: nothing is sent on, or the
-// exchange is notified at once that it is over.
+// A set-up and its cancellation arrive on two connections in the same iteration, in either order. The set-up is not sent.
 func TestCancelIsReadBeforeItsSetup(t *testing.T) {
-	testBothOrders(t, "the give-up", "the set-up", func(t *testing.T, giveUp bool) {
+	testBothOrders(t, "the cancellation", "the set-up", func(t *testing.T, cancelFirst bool) {
 		exchange := startFakeExchange(t, "127.0.0.1:0")
 		bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-0", "s-0"}})
 		other := bed.dialCaller("cccccccc")
@@ -263,75 +262,75 @@
 			for k := range bed.server.frontends.json.Clients().Oldest() {
 				all = append(all, k)
 			}
-			runInOrder(giveUp, func() { all[1].HandleData(jsonMessage(jsonl.Finish, testCallID)) }, func() { all[0].HandleData(jsonSetup(testCallID, 2*time.Second)) })
+			runInOrder(cancelFirst, func() { all[1].HandleData(jsonMessage(jsonl.Finish, testCallID)) }, func() { all[0].HandleData(jsonSetup(testCallID, 2*time.Second)) })
 		})
 		bed.awaitNoPendingWork()
 		bed.decider.setServers("s-0")
 		last := other.setUp("1", 2*time.Second)
 		exchange.awaitReceived("INVITE", last, 1)
 		if n := exchange.countReceived("INVITE", testCallID); n != 0 {
-			t.Errorf("%d set-ups of a caller that had left", n)
+			t.Errorf("the exchange received %d set-ups of a caller that had left, want none", n)
 		}
 	})
 }
 
-// A timeout and an answer come in one iteration: the caller has one final answer, and a call that is established for
-// nobody is released at the exchange.
+// A timeout and an answer occur in one iteration. The caller receives one final answer, and if the timeout is first, the
+// call that the exchange has established is released there.
 func TestTimeoutCrossesAnswer(t *testing.T) {
-	testBothOrders(t, "the time-out", "the answer", func(t *testing.T, timeOut bool) {
+	testBothOrders(t, "the timeout", "the answer", func(t *testing.T, timeoutFirst bool) {
 		exchange := startFakeExchange(t, "127.0.0.1:0")
 		bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{retryDelay: retryGuard, servers: []string{"s-0"}})
 		id := bed.caller.setUp("1", 400*time.Millisecond)
 		exchange.awaitReceived("INVITE", id, 1)
-		bed.runIteration(func() { // its time passes while the loop is blocked
+		bed.runIteration(func() { // the set-up times out while the loop is blocked
 			for until := bed.server.loop.Now() + 420*time.Millisecond; bed.server.loop.Now() < until; {
 				time.Sleep(time.Millisecond)
 			}
-			runInOrder(timeOut, bed.server.calls.Tick, func() { bed.deliver(0, sipResponse(id, "INVITE", 200, 1, "a")) })
+			runInOrder(timeoutFirst, bed.server.calls.Tick, func() { bed.deliver(0, sipResponse(id, "INVITE", 200, 1, "a")) })
 		})
 		bed.answers.await(t, id, 1)
 		bed.awaitNoPendingWork()
-		if timeOut {
+		if timeoutFirst {
 			exchange.awaitReceived("CANCEL", id, 1)
 			exchange.awaitReceived("BYE", id, 1)
 			if got := bed.answers.of(id); got != "end 41" {
 				t.Error(got)
 			}
 		} else if got := bed.answers.of(id); got != "stands a" || exchange.countReceived("CANCEL", id)+exchange.countReceived("BYE", id) != 0 {
-			t.Errorf("%q, given up %d, released %d", got, exchange.countReceived("CANCEL", id), exchange.countReceived("BYE", id))
+			t.Errorf("got %q, %d cancellations, %d releases", got, exchange.countReceived("CANCEL", id), exchange.countReceived("BYE", id))
 		}
 	})
 }
 
-// A cancellation and the answer come in one iteration: the exchange is notified that its call is over, in either
+// A cancellation and the answer arrive in one iteration. The call is released at the exchange exactly once, in either
 // order.
 func TestCancelCrossesAnswer(t *testing.T) {
-	testBothOrders(t, "the give-up", "the answer", func(t *testing.T, giveUp bool) {
+	testBothOrders(t, "the cancellation", "the answer", func(t *testing.T, cancelFirst bool) {
 		exchange := startFakeExchange(t, "127.0.0.1:0")
 		bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-0"}})
 		id := bed.caller.setUp("1", 3*time.Second)
 		exchange.awaitReceived("INVITE", id, 1)
 		bed.runIteration(func() {
 			k := bed.findClient(id)
-			runInOrder(giveUp, func() { k.HandleData(jsonMessage(jsonl.Finish, id)) },
+			runInOrder(cancelFirst, func() { k.HandleData(jsonMessage(jsonl.Finish, id)) },
 				func() { bed.deliver(0, sipResponse(id, "INVITE", 200, 1, "a")) })
 		})
 		exchange.awaitReceived("BYE", id, 1)
-		if !giveUp {
-			bed.answers.await(t, id, 1) // it may still be on its way
+		if !cancelFirst {
+			bed.answers.await(t, id, 1) // it may still be in flight
 		}
 		bed.awaitNoPendingWork()
-		if got := bed.answers.of(id); giveUp && got != "" || !giveUp && got != "stands a" {
-			t.Errorf("the caller got %q", got)
+		if got := bed.answers.of(id); cancelFirst && got != "" || !cancelFirst && got != "stands a" {
+			t.Errorf("the caller received %q", got)
 		}
 		if n := exchange.countReceived("BYE", id); n != 1 {
-			t.Errorf("%d releases", n)
+			t.Errorf("%d releases, want 1", n)
 		}
 	})
 }
 
-// A caller leaves, by a cancellation or with its connection, in the iteration in which the retry guard of its call
-// ends. Where it left first nothing is sent; where the guard ended first the attempt is stopped before it is written.
+// A caller cancels its call or disconnects in the iteration in which the retry guard of the call ends. If the caller
+// leaves first, no attempt starts; if the guard ends first, the new attempt is stopped before it is written.
 func TestCallerLeavesAsRetryGuardEnds(t *testing.T) {
 	for _, how := range []string{"gives up", "closes"} {
 		t.Run(how, func(t *testing.T) {
@@ -359,14 +358,15 @@
 				last := bed.caller.setUp("1", 2*time.Second)
 				exchange.awaitReceived("INVITE", last, 1)
 				if n := exchange.countReceived("INVITE", id); n != 1 || bed.answers.of(id) != "" {
-					t.Errorf("%d attempts, the caller got %q", n, bed.answers.of(id))
+					t.Errorf("%d attempts, want 1; the caller received %q", n, bed.answers.of(id))
 				}
 			})
 		})
 	}
 }
 
-// A set-up and the end of its connection wait in the socket together, with part of a line behind them.
+// A set-up, part of another one and the close of the connection are pending in the socket together. The set-up is
+// canceled if it was sent, and the partial one is ignored.
 func TestSetupAndCloseTogether(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -380,6 +380,6 @@
 	id := bed.caller.setUp("1", 2*time.Second)
 	exchange.awaitReceived("INVITE", id, 1)
 	if in, off := exchange.countReceived("INVITE", testCallID), exchange.countReceived("CANCEL", testCallID); in != off || in > 1 || exchange.countReceived("INVITE", "00000000000000ab") != 0 {
-		t.Errorf("%d set-ups, %d given up", in, off)
+		t.Errorf("%d set-ups and %d cancellations", in, off)
 	}
 }
--- a/internal/server/deciders_test.go
+++ b/internal/server/deciders_test.go
@@ -8,16 +8,17 @@
 	"olivedale/internal/admission"
 )
 
-// A scriptedDecider sends attempts where the test says, in turn, and retries at once what has ended.
+// A scriptedDecider sends each attempt to the next exchange in a list. A failed attempt is retried immediately, or after
+// retryDelay if it may have run.
 type scriptedDecider struct {
 	mu         sync.Mutex
 	servers    []string
-	retryDelay time.Duration // before an attempt that may have run is repeated
+	retryDelay time.Duration // delay of a retry after an attempt that may have run
 	retryAt    map[string]time.Duration
 	reports    []admission.AttemptReport
 }
 
-// setServers replaces the exchanges that the next attempts go to.
+// setServers sets the exchanges for the next attempts.
 func (d *scriptedDecider) setServers(servers ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +63,7 @@
 	return admission.Decision{CallID: p.CallID}
 }
 
-func (d *scriptedDecider) Tick(now time.Duration) (orders []admission.Decision) {
+func (d *scriptedDecider) Tick(now time.Duration) (decisions []admission.Decision) {
 	d.mu.Lock()
 	var due []string
 	for id, at := range d.retryAt {
@@ -73,9 +74,9 @@
 	}
 	d.mu.Unlock()
 	for _, id := range due {
-		orders = append(orders, d.next(id))
+		decisions = append(decisions, d.next(id))
 	}
-	return orders
+	return decisions
 }
 
 func (d *scriptedDecider) NextDeadline() time.Duration {
@@ -89,7 +90,7 @@
 }
 func (d *scriptedDecider) UpdateServers(time.Duration, []admission.Server, bool) {}
 
-// results returns the reported results of a call's attempts.
+// results returns the reported results of the attempts of a call.
 func (d *scriptedDecider) results(id string) (all []admission.AttemptResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,13 +102,13 @@
 	return all
 }
 
-// unlimitedDecider decides without limits: a call goes to its pools in their order, one after another; after an
-// attempt that may have run the retry guard passes first. It shows what surrounds the admission control at rates that
-// this would not admit to exchanges it does not know.
+// unlimitedDecider applies no limits: a call is sent to its pools in order, one after another, with the retry guard
+// after an attempt that may have run. It lets tests load the rest of the server at rates that the admission control
+// would not admit to exchanges it does not know yet.
 type unlimitedDecider struct {
-	untriedPools   map[string][]int // pools of an open call that were not tried yet
-	delayed        []delayedCall    // by time
-	attemptTimeout time.Duration    // of an attempt
+	untriedPools   map[string][]int // remaining pools by open call
+	delayed        []delayedCall    // calls waiting for the retry guard, by time
+	attemptTimeout time.Duration    // timeout of each attempt
 }
 
 type delayedCall struct {
@@ -115,7 +116,7 @@
 	call string
 }
 
-// newUnlimitedDecider returns one whose attempts end before an unresponsive connection is closed.
+// newUnlimitedDecider returns a decider whose attempts time out before an unresponsive connection is closed.
 func newUnlimitedDecider() *unlimitedDecider {
 	return &unlimitedDecider{untriedPools: make(map[string][]int), attemptTimeout: 150 * time.Millisecond}
 }
