--- a/internal/server/discovery_server_test.go
+++ b/internal/server/discovery_server_test.go
@@ -9,18 +9,18 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// discoveryServer answers queries with the list of endpoints that it holds.
+// discoveryServer is a DNS server that answers queries with a list of endpoints.
 type discoveryServer struct {
 	conn                net.PacketConn
 	mu                  sync.Mutex
 	serial              uint32
 	lines               []endpointLine
-	queriesToDrop       int // queries that are not answered
-	maxAnswersPerClient int // so many answers to each address, then none; 0: no limit
+	queriesToDrop       int // number of queries to leave unanswered
+	maxAnswersPerClient int // maximum number of answers to each address; 0 means no limit
 	answersByClient     map[string]int
-	heldAnswers         [][]byte // answers that are not sent while holdsAnswers
+	heldAnswers         [][]byte // answers withheld while holdsAnswers is set
 	holdsAnswers        bool
-	lastClient          net.Addr // the last
+	lastClient          net.Addr // address of the latest query
 }
 
 type endpointLine struct {
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// The discovery service's socket must not be taken for a caller's connection.
+// The socket to the discovery service is not treated as a connection of a caller.
 func TestDiscoverySocketIsNoCaller(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -21,13 +21,13 @@
 	answers.await(t, "echo", 1)
 	n := make(chan int, 1)
 	server.server.loop.Execute(func() { n <- server.server.frontends.host.Counters.Accepted + 100*server.server.malformed.count })
-	if got := <-n; got != 2 { // the first is the server's own
-		t.Errorf("clients + 100 malformed: %d, want 2", got)
+	if got := <-n; got != 2 { // one connection is the server's own
+		t.Errorf("accepted clients plus 100 per malformed input: %d, want 2", got)
 	}
 }
 
-// The discovery service answers each socket once and never again: a drain that comes later is learned over another
-// socket, in time to stop new calls 2 s after it counts as announced.
+// The discovery service stops answering a socket after its first answer. The server learns of a later drain over
+// another socket, in time to stop new calls 2 s after the drain counts as announced.
 func TestDiscoverySilentOnOneSocket(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, nil)
@@ -48,17 +48,17 @@
 	})
 	began := time.Now()
 	bed.discovery.set(endpointLine{id: "s-0", addr: bed.exchanges[0].addr(), draining: true})
-	eventually(t, "the drain is heard", func() (draining bool) {
+	eventually(t, "the drain is known", func() (draining bool) {
 		bed.runIteration(func() { draining = bed.server.backends.Get("s-0").IsDraining() })
 		return draining
 	})
 	if took := time.Since(began); took > 3500*time.Millisecond {
-		t.Errorf("a drain was heard after %v", took)
+		t.Errorf("the drain was learned after %v", took)
 	}
 }
 
-// The discovery service answers no more at all: the list at hand goes on serving, and sockets are neither piled up nor
-// opened ever faster.
+// The discovery service stops answering altogether. The current list stays in use, and sockets are neither accumulated
+// nor reopened at an increasing rate.
 func TestDiscoverySilentForGood(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, nil)
@@ -74,7 +74,7 @@
 	})
 	bed.runIteration(func() {
 		if r := bed.server.discovery; r.silenceTimeout < 3*time.Second || r.silenceTimeout > maxSilenceTimeout*11/10 {
-			t.Errorf("after three the next may be silent for %v", r.silenceTimeout)
+			t.Errorf("the timeout after three sockets is %v", r.silenceTimeout)
 		}
 	})
 	id := bed.caller.setUp("1", 2*time.Second)
@@ -85,8 +85,8 @@
 	}
 }
 
-// SIGHUP changes the discovery service's address between query and answer: what the old one still answers is not read,
-// also where its serial is the higher one.
+// A reload changes the address of the discovery service between a query and its answer. Answers from the old address
+// are ignored even if their serial is higher.
 func TestDiscoveryAddressChangesBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	bed := startTestbed(t, []*fakeExchange{startFakeExchange(t, "127.0.0.1:0")}, nil)
@@ -98,7 +98,7 @@
 	for range 7 {
 		bed.discovery.set(endpointLine{id: "s-9", addr: bed.exchanges[0].addr()})
 	}
-	eventually(t, "an answer held back", func() bool {
+	eventually(t, "an answer is withheld", func() bool {
 		bed.discovery.mu.Lock()
 		defer bed.discovery.mu.Unlock()
 		return len(bed.discovery.heldAnswers) > 0
@@ -115,10 +115,10 @@
 	bed.discovery.mu.Lock()
 	_, _ = bed.discovery.conn.WriteTo(bed.discovery.heldAnswers[0], bed.discovery.lastClient)
 	bed.discovery.mu.Unlock()
-	eventually(t, "the new list", func() bool { return bed.listSerial() == 2 })
+	eventually(t, "the new list is active", func() bool { return bed.listSerial() == 2 })
 	bed.runIteration(func() {
 		if l := bed.server.backends.Get("s-0"); l == nil || !l.IsDraining() || bed.server.backends.Get("s-9") != nil {
-			t.Errorf("%d exchanges are known, s-0 is %+v", bed.server.backends.Len(), l)
+			t.Errorf("%d exchanges known, s-0 is %+v", bed.server.backends.Len(), l)
 		}
 	})
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -12,8 +12,8 @@
 	"olivedale/internal/config"
 )
 
-// The pools of a number drain one after the other, the fallback first: calls go to the pools that are left, to no
-// other, and are answered at once where none is left. A pool that returns is used.
+// The pools of a route drain one after the other, the fallback first. Calls are sent only to the remaining pools and are
+// rejected immediately if none remains. A pool that returns is used again.
 func TestPoolsThatDrain(t *testing.T) {
 	t.Parallel()
 	nodes, answers := startFleet(t, 3), newAnswerLog()
@@ -39,13 +39,13 @@
 		}
 		return all
 	}
-	drains := func(which ...int) {
+	drain := func(which ...int) {
 		lines := append([]endpointLine(nil), nodes.lines...)
 		for _, i := range which {
 			lines[i].draining = true
 		}
 		nodes.discovery.set(lines...)
-		eventually(t, "the server is notified", func() bool {
+		eventually(t, "the drain is known", func() bool {
 			got := make(chan bool, 1)
 			s.server.loop.Execute(func() {
 				same := true
@@ -57,51 +57,51 @@
 			return <-got
 		})
 	}
-	// goes sets calls up on both frontends until two have gone to one of the exchanges that may have
-	// them, or where none may until two have been answered at once. None may go elsewhere. Calls that
-	// the admission control rejects since it does not know an exchange well yet are tried again.
-	goes := func(what, number string, may ...int) {
+	// checkRouting sets up calls on both frontends until two of them have been sent to an allowed exchange or, if no
+	// exchange is allowed, have been rejected immediately. No call may be sent to another exchange. Calls that the
+	// admission control rejects because it has too few results of an exchange are tried again.
+	checkRouting := func(what, number string, allowed ...int) {
 		t.Helper()
 		for good, end := 0, time.Now().Add(10*time.Second); good < 2; {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %d of 2 calls went where they may", what, good)
+				t.Fatalf("%s: %d of 2 calls were routed as expected", what, good)
 			}
 			before, began := invited(), time.Now()
 			key := callers[good%2].setUp(number, 4*time.Second)
-			eventually(t, what+": it ends", func() bool { return strings.Contains(answers.of(key), "end") })
+			eventually(t, what+": the call ends", func() bool { return strings.Contains(answers.of(key), "end") })
 			took, to := time.Since(began), -1
 			for i, n := range invited() {
 				if n == before[i] {
 					continue
 				}
-				if to = i; !slices.Contains(may, i) {
-					t.Errorf("%s: a call went to %d", what, i)
+				if to = i; !slices.Contains(allowed, i) {
+					t.Errorf("%s: a call was sent to exchange %d", what, i)
 				}
 			}
 			switch {
-			case slices.Contains(may, to), len(may) == 0 && to < 0 && took < time.Second:
+			case slices.Contains(allowed, to), len(allowed) == 0 && to < 0 && took < time.Second:
 				good++
-			case len(may) == 0 && to < 0:
-				t.Errorf("%s: a call was turned away after %v", what, took)
+			case len(allowed) == 0 && to < 0:
+				t.Errorf("%s: a call was rejected only after %v", what, took)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	goes("all are there", "1230", 0, 1)
-	drains(1)
-	goes("the fallback drains", "1230", 0)
-	drains(0, 1)
-	goes("all pools of the route drain", "1230")
-	drains(0)
-	goes("the fallback is back", "1230", 1)
-	drains(1)
-	goes("the first is back, the fallback drains", "1230", 0)
-	goes("its server turns calls down once", "1236", 0)
+	checkRouting("no pool drains", "1230", 0, 1)
+	drain(1)
+	checkRouting("the fallback drains", "1230", 0)
+	drain(0, 1)
+	checkRouting("all pools of the route drain", "1230")
+	drain(0)
+	checkRouting("the fallback is in service again", "1230", 1)
+	drain(1)
+	checkRouting("the first pool is in service again, the fallback drains", "1230", 0)
+	checkRouting("the first exchange rejects each call once", "1236", 0)
 	if n := invited()[2]; n > 0 {
-		t.Errorf("%d calls to a pool that the route does not have", n)
+		t.Errorf("%d calls were sent to a pool that is not part of the route", n)
 	}
 	s.stop(t)
 	if n := nodes.observations.total(&nodes.observations.simultaneousAttempts) + nodes.observations.total(&nodes.observations.earlyRetries); n != 0 {
-		t.Errorf("%d rules broken", n)
+		t.Errorf("%d simultaneous attempts or early retries, want none", n)
 	}
 }
--- a/internal/server/fake_exchange_test.go
+++ b/internal/server/fake_exchange_test.go
@@ -12,19 +12,20 @@
 	"olivedale/internal/codec/sip"
 )
 
-// A fakeExchange is an exchange that the test controls: it records what it receives and sends what the test says.
+// A fakeExchange is an exchange under the control of the test: it records what it receives and sends only what the test
+// tells it to. The entries of received, receivedOn and receivedAt correspond; latestMessage is by method and Call-ID.
 type fakeExchange struct {
 	t             testing.TB
 	listener      net.Listener
 	mu            sync.Mutex
 	changed       *sync.Cond
-	received      []string // method, Call-ID and CSeq, in order, of all connections; 'CLOSED' where one has ended
-	receivedOn    []int    // the connection of each message
+	received      []string // method, Call-ID and CSeq of messages on all connections; 'CLOSED' for a close
+	receivedOn    []int    // index of the connection
 	receivedAt    []time.Time
 	latestMessage map[string]*sip.Message
-	latestConn    net.Conn // the latest
+	latestConn    net.Conn // most recently accepted connection
 	conns         []net.Conn
-	readsNothing  bool // it accepts connections and reads nothing
+	readsNothing  bool // connections are accepted but not read
 }
 
 func startFakeExchange(t testing.TB, addr string) *fakeExchange {
@@ -58,7 +59,7 @@
 
 func (e *fakeExchange) addr() string { return e.listener.Addr().String() }
 
-// stop ends the process: nobody listens, and its connections are reset.
+// stop simulates the end of the process: the listener is closed and the connections are reset.
 func (e *fakeExchange) stop() {
 	_ = e.listener.Close()
 	e.mu.Lock()
@@ -96,7 +97,7 @@
 	e.changed.Broadcast()
 }
 
-// countReceived returns how many messages of a method have come for a call.
+// countReceived returns the number of messages with a method that have been received for a call.
 func (e *fakeExchange) countReceived(method, id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,10 +109,10 @@
 	return n
 }
 
-// awaitReceived waits until so many messages of a method have come for a call.
+// awaitReceived waits until n messages with a method have been received for a call.
 func (e *fakeExchange) awaitReceived(method, id string, n int) {
 	e.t.Helper()
-	eventually(e.t, fmt.Sprintf("%d of %s %s", n, method, id), func() bool { return e.countReceived(method, id) >= n })
+	eventually(e.t, fmt.Sprintf("%d messages %s %s", n, method, id), func() bool { return e.countReceived(method, id) >= n })
 }
 
 func (e *fakeExchange) awaitConn() net.Conn {
@@ -126,12 +127,12 @@
 	return e.latestConn
 }
 
-// sipResponse returns an answer of an exchange as it is sent.
+// sipResponse returns an encoded SIP response of an exchange.
 func sipResponse(id, method string, status, cseq int, body string) []byte {
 	return fmt.Appendf(nil, "SIP/2.0 %d X\r\nCall-ID: %s\r\nCSeq: %d %s\r\nContent-Length: %d\r\n\r\n%s", status, id, cseq, method, len(body), body)
 }
 
-// sipRelease returns a release by an exchange as it is sent.
+// sipRelease returns an encoded release by an exchange.
 func sipRelease(id string, cause int) []byte {
 	return sip.AppendRequest(nil, &sip.Request{Method: "BYE", Number: "1", CallID: id, CSeq: 90,
 		Headers: []sip.Header{{Name: "Reason", Value: fmt.Sprint("Q.850;cause=", cause)}}})
@@ -139,13 +140,13 @@
 
 func (e *fakeExchange) send(b []byte) { _, _ = e.awaitConn().Write(b) }
 
-// resetConn resets a connection from the peer's side.
+// resetConn resets a connection from the side of the peer.
 func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// awaitInvite waits for the nth set-up and returns its id.
+// awaitInvite waits for the nth set-up and returns its call id.
 func (e *fakeExchange) awaitInvite(n int) (id string) {
 	e.t.Helper()
 	eventually(e.t, fmt.Sprint(n, " set-ups"), func() bool {
--- a/internal/server/frontends_test.go
+++ b/internal/server/frontends_test.go
@@ -26,22 +26,22 @@
 		_, _ = c.Write([]byte(bad))
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%.30q got %d bytes", bad, n)
+			t.Errorf("input %.30q: received %d bytes, want a close", bad, n)
 		}
 		_ = c.Close()
 	}
 	client := dialJSONCaller(t, server.jsonAddress(), answers, "aaaaaaaa")
-	answers.await(t, client.setUp("keep.1", 4*time.Second), 1) // all others go on
+	answers.await(t, client.setUp("keep.1", 4*time.Second), 1) // other connections are not affected
 }
 
-// A set-up that is invalid, or has the id of another caller's call, is rejected or its connection closed; the other's
-// call goes on, and no exchange is involved.
+// An invalid set-up, or one that reuses the id of another caller's call, is rejected or its connection is closed. The
+// other call is not affected, and nothing is sent to an exchange.
 func TestInvalidAndReusedSetupsAreRejected(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
 	client := dialJSONCaller(t, server.jsonAddress(), answers, "aaaaaaaa")
 	open := client.setUp("silent.1", 5*time.Second)
-	eventually(t, "the set-up is out", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
+	eventually(t, "the set-up is sent", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
 	start := func(id, extras, blob string) string {
 		return fmt.Sprintf(`{"verb":"START","tag":%q,"opts":{"class":"voice","left":"900","key":"keep.2","extras":%q},"blob":%q}`+"\n", id, extras, blob)
 	}
@@ -58,18 +58,19 @@
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		if bad.want == "" && line != "" || !strings.Contains(line, bad.want) || strings.Contains(line, jsonl.Started) {
-			t.Errorf("%q got %q", bad.text, line)
+			t.Errorf("input %q: received %q", bad.text, line)
 		}
 		_ = c.Close()
 	}
 	client.hangUp(open)
-	eventually(t, "the other's set-up was still open", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
+	eventually(t, "the other caller's set-up is canceled", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
 	if n := server.observations.attemptsTo("keep.2"); n != 0 {
-		t.Errorf("%d set-ups came to an exchange", n)
+		t.Errorf("%d invalid set-ups were sent to an exchange, want none", n)
 	}
 }
 
-// A connection that sends nothing, or part of a message, is closed in time; one that has sent a message may stay.
+// A connection that sends nothing, or only part of a message, is closed after a timeout. A connection that has sent a
+// complete message stays open.
 func TestSilentAndStalledConnectionsAreClosed(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -92,7 +93,7 @@
 	answers.await(t, "echo", 2)
 }
 
-// The connection of a caller who asks and does not read is closed, which bounds the memory that it takes.
+// A caller sends requests without reading the answers. Its connection is closed, which bounds the memory that it uses.
 func TestCallerWhoDoesNotRead(t *testing.T) {
 	t.Parallel()
 	server := startTestServer(t, false)
@@ -106,15 +107,15 @@
 	_ = c.SetWriteDeadline(time.Now().Add(30 * time.Second))
 	for sent := 0; ; sent += len(many) {
 		if _, err := c.Write(many); err != nil {
-			break // reset, because it is closed with unread text
+			break // the server has closed the connection
 		}
 		if sent > 256<<20 {
-			t.Fatal("the caller was heard without end")
+			t.Fatal("the connection was not closed after 256 MiB of requests")
 		}
 	}
 }
 
-// Callers beyond the budget of sockets replace idle ones, not those with calls.
+// New connections beyond the socket budget replace idle connections, but not those with open calls.
 func TestSocketBudget(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -123,7 +124,7 @@
 	<-done
 	busy := dialJSONCaller(t, server.jsonAddress(), answers, "aaaaaaaa")
 	busy.setUp("silent.1", 5*time.Second)
-	eventually(t, "the set-up is out", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
+	eventually(t, "the set-up is sent", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
 	for range 5 {
 		dialJSONCaller(t, server.jsonAddress(), answers, "bbbbbbbb")
 	}
@@ -132,11 +133,12 @@
 		t.Error("no answer on the last connection")
 	}
 	if n := server.observations.total(&server.observations.canceled); n != 0 {
-		t.Errorf("%d set-ups were given up for want of sockets", n)
+		t.Errorf("%d set-ups were canceled to free sockets, want none", n)
 	}
 }
 
-// A set-up and a release cross the close of their idle connection: what has come is handled, and the connection stays.
+// A set-up arrives on an idle connection that is about to be closed. The set-up is processed, and the connection stays
+// open.
 func TestSetupCrossesIdleClose(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -145,13 +147,13 @@
 		_, _ = bed.caller.conn.Write(jsonSetup(testCallID, 2*time.Second))
 		for k := bed.server.frontends.json.EvictionCandidate(); k != nil; k = bed.server.frontends.json.EvictionCandidate() {
 			if k == bed.findClient(testCallID) || bed.server.calls.Contains(testCallID) && k.HasSetup(testCallID) {
-				t.Error("a connection with a set-up on it is to be closed")
+				t.Error("a connection with an open set-up is selected to be closed")
 				return
 			}
-			bed.server.loop.Close(k.Conn()) // closed as for a new connection; the next
+			bed.server.loop.Close(k.Conn()) // closed as if to make room for a new connection
 		}
 		if !bed.server.calls.Contains(testCallID) {
-			t.Error("the set-up was not taken")
+			t.Error("the set-up was not accepted")
 		}
 	})
 	exchange.awaitReceived("INVITE", testCallID, 1)
@@ -161,8 +163,8 @@
 	}
 }
 
-// A gateway that has been silent for too long sends a set-up as its connection is to be closed: it is handled, and the
-// connection stays.
+// A gateway sends a set-up when its connection is about to be closed after a long silence. The set-up is processed, and
+// the connection stays open.
 func TestGatewaySetupCrossesIdleClose(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -172,7 +174,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	eventually(t, "the gateway is there", func() (there bool) {
+	eventually(t, "the gateway is connected", func() (there bool) {
 		bed.runIteration(func() { there = bed.latestGateway() != nil })
 		return there
 	})
@@ -181,7 +183,7 @@
 		_, _ = c.Write(frameTransactions(t, "<p>", addTransaction("p/1", 1, "1", 3*time.Second)))
 		bed.server.frontends.gateway.CloseOverdue(bed.server.loop.Now() + 2*eventloop.InputTimeout)
 		if !p.Conn().IsOpen() {
-			t.Error("it is closed with a set-up on it")
+			t.Error("the connection was closed with an open set-up")
 		}
 	})
 	exchange.awaitInvite(1)
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/config"
 )
 
-// openIdleConnections opens connections to the JSON frontend that test it once, and stay.
+// openIdleConnections opens n connections to the JSON frontend that send one echo request and then stay idle.
 func openIdleConnections(t testing.TB, server *testServer, n int) {
 	t.Helper()
 	buf := make([]byte, 256)
@@ -32,8 +32,8 @@
 	}
 }
 
-// runCallsAmidIdleConnections sets so many calls up on both frontends, a thousand a second, beside idle connections,
-// and logs how long they took.
+// runCallsAmidIdleConnections sets up calls on both frontends at 1000 per second while other connections are idle, and
+// logs the latencies.
 func runCallsAmidIdleConnections(t testing.TB, idlers, calls int) {
 	nodes := startFleet(t, 1)
 	nodes.exchanges[0].behavesByDigit = true
@@ -44,22 +44,22 @@
 	s := nodes.startServer(t, "n0", "", new(atomic.Int64))
 	openIdleConnections(t, s, idlers)
 	answers := newAnswerLog()
-	panel := dialGatewayCaller(t, s.gatewayAddress(), answers, "<one>")
-	panel.acknowledges = true
-	l := newLoadGenerator(answers, 5*time.Second, 4096, dialJSONCaller(t, s.jsonAddress(), answers, "aaaaaaaa"), panel)
+	gateway := dialGatewayCaller(t, s.gatewayAddress(), answers, "<one>")
+	gateway.acknowledges = true
+	l := newLoadGenerator(answers, 5*time.Second, 4096, dialJSONCaller(t, s.jsonAddress(), answers, "aaaaaaaa"), gateway)
 	l.run(calls, 1000, func(int) string { return "1230" })
 	took := l.awaitEnds(t)
 	s.stop(t)
-	t.Logf("%d idle connections: stands after p50 %v us, p99 %v us, at most %v us", idlers, took.ValueAtQuantile(50), took.ValueAtQuantile(99), took.Max())
+	t.Logf("%d idle connections: established after p50 %v us, p99 %v us, at most %v us", idlers, took.ValueAtQuantile(50), took.ValueAtQuantile(99), took.Max())
 }
 
-// Calls and releases are served beside idle connections.
+// Calls and releases are served while many connections are idle.
 func TestCallsAmidIdleConnections(t *testing.T) {
 	t.Parallel()
 	runCallsAmidIdleConnections(t, 200, 300)
 }
 
-// BenchmarkIdleConnections shows that the cost of a message does not depend on the number of connections:
+// BenchmarkIdleConnections measures whether the cost of a message depends on the number of idle connections:
 // go test -run '^$' -bench Idle -benchtime 1x ./internal/server
 func BenchmarkIdleConnections(b *testing.B) {
 	var limit syscall.Rlimit
@@ -69,7 +69,7 @@
 	for _, n := range []int{100, 5000, 9000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			if uint64(2*n+200) > limit.Cur {
-				b.Skipf("%d descriptors are allowed, both ends of %d connections need more", limit.Cur, n)
+				b.Skipf("the limit is %d descriptors, both ends of %d connections need more", limit.Cur, n)
 			}
 			for range b.N {
 				runCallsAmidIdleConnections(b, n, 10_000)
