--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -25,7 +25,7 @@
 type capture struct {
 	t        *testing.T
 	conn     net.Conn
-	isFramed bool // TPKT frames are stripped: their lengths change with ports
+	isFramed bool // strip TPKT frames, whose lengths depend on port numbers
 	framer   h248.Framer
 	mu       sync.Mutex
 	stream   []byte
@@ -76,7 +76,7 @@
 	return string(p.stream)
 }
 
-// await waits until what has come matches a pattern, and returns the first group of the last match.
+// await waits until the received text matches a pattern, and returns the last group of the last match.
 func (p *capture) await(pattern string) (group string) {
 	p.t.Helper()
 	re := regexp.MustCompile("(?s)" + pattern)
@@ -98,7 +98,7 @@
 	}
 }
 
-// sendTransaction sends a transaction of an H.248 peer.
+// sendTransaction sends a transaction as an H.248 peer.
 func (p *capture) sendTransaction(mid string, tr *h248.Transaction) {
 	b, err := h248.AppendFrame(nil, &h248.Message{MID: mid, Transactions: []*h248.Transaction{tr}})
 	if err != nil {
@@ -107,12 +107,12 @@
 	p.send(b)
 }
 
-// request sends a request of one command.
+// request sends a request with one command.
 func (p *capture) request(mid string, id uint32, context string, c *h248.Command) {
 	p.sendTransaction(mid, &h248.Transaction{ID: id, Actions: []*h248.Action{{Context: context, Commands: []*h248.Command{c}}}})
 }
 
-// volatile are the parts that differ between two runs, and their placeholders.
+// volatile are the patterns of text that differs between runs, with their replacements.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	with    string
@@ -125,7 +125,7 @@
 	{regexp.MustCompile(`oc/recorded=\d+`), `oc/recorded=COUNT`},
 }
 
-// transcript returns what has come on a connection with placeholders for volatile parts and for ids.
+// transcript returns the received text with placeholders for volatile parts and for ids.
 func (p *capture) transcript(name string, ids map[string]string) goldentest.Message {
 	text := p.text()
 	for _, v := range volatile {
@@ -137,7 +137,7 @@
 	return goldentest.Message{Name: name, Bytes: []byte(text)}
 }
 
-// A goldenScript is a server with an exchange of each protocol and a connection of each kind of caller.
+// A goldenScript is a server with an exchange of each protocol and a connection of each kind of client.
 type goldenScript struct {
 	*testbed
 	exchange, server       *capture // SIP, H.248
@@ -145,7 +145,7 @@
 	ids                    map[string]string
 }
 
-// startUnreadExchange starts an exchange whose connections the test reads itself.
+// startUnreadExchange starts an exchange whose connections are read by the test.
 func startUnreadExchange(t *testing.T) *fakeExchange {
 	t.Helper()
 	x := startFakeExchange(t, "127.0.0.1:0")
@@ -173,7 +173,7 @@
 	return s
 }
 
-// goldenRecords turns records on with their defaults, since the counters of records are statistics too.
+// goldenRecords returns the default options of records. They are enabled because the audit includes their counters.
 func goldenRecords(t *testing.T) *config.Records {
 	t.Helper()
 	r := &config.Records{Dir: t.TempDir()}
@@ -183,24 +183,24 @@
 	return r
 }
 
-// callJSON sends a set-up whose attempts go to these exchanges.
+// callJSON sends a set-up whose attempts are sent to the given exchanges in turn.
 func (s *goldenScript) callJSON(id string, servers ...string) {
 	s.decider.setServers(servers...)
 	s.caller.send(jsonSetup(id, 5*time.Second))
 }
 
-// awaitRequest waits until a request for a call has come to the exchange.
+// awaitRequest waits until the exchange has received a request for a call.
 func (s *goldenScript) awaitRequest(method, id string) {
 	s.t.Helper()
 	s.exchange.await(method + ` sip:[^\n]*\n[^\n]*\nCall-ID: ` + id)
 }
 
-// sipRejection returns a rejection by the exchange as it is sent.
+// sipRejection returns an encoded rejection by the exchange.
 func sipRejection(id string, status, cseq int, diagnosis string) []byte {
 	return fmt.Appendf(nil, "SIP/2.0 %d X\r\nCall-ID: %s\r\nCSeq: %d INVITE\r\nX-Diagnosis: %s\r\nContent-Length: 0\r\n\r\n", status, id, cseq, diagnosis)
 }
 
-// jsonToSIP makes calls of the JSON frontend to the SIP exchange.
+// jsonToSIP makes calls from the JSON frontend to the SIP exchange.
 func (s *goldenScript) jsonToSIP() {
 	s.caller.send(jsonl.Append(nil, &jsonl.Message{Verb: jsonl.Echo, Tag: "t"}))
 	s.caller.await(`ECHOED`)
@@ -241,7 +241,7 @@
 	}
 }
 
-// jsonToH248 makes calls of the JSON frontend to the H.248 exchange.
+// jsonToH248 makes calls from the JSON frontend to the H.248 exchange.
 func (s *goldenScript) jsonToH248() {
 	const hungUp, released, refused = "00000000000000b1", "00000000000000b2", "00000000000000b3"
 	const mid = "<server>"
@@ -274,14 +274,14 @@
 	s.server.await(`Reply=92`)
 }
 
-// awaitInvite waits for the set-up of a number at the exchange and gives its id a placeholder.
+// awaitInvite waits for the set-up of a number at the exchange and registers a placeholder for its call id.
 func (s *goldenScript) awaitInvite(number string) (id string) {
 	id = s.exchange.await(`INVITE sip:` + number + `@[^\n]*\n[^\n]*\nCall-ID: (\w+)`)
 	s.ids[id] = "ID-OF-" + number
 	return id
 }
 
-// gatewayToSIP makes calls of the H.248 frontend to the SIP exchange.
+// gatewayToSIP makes calls from the H.248 frontend to the SIP exchange.
 func (s *goldenScript) gatewayToSIP() {
 	const mid = "<panel>"
 	add := func(n uint32, number string) (id string) {
@@ -319,7 +319,7 @@
 	s.gateway.await(`Error=400`)
 }
 
-// administer sends what olivectl and the agent send.
+// administer sends the requests of olivectl and of the agent.
 func (s *goldenScript) administer() {
 	const mid = "<ctl>"
 	for n, c := range []*h248.Command{adminapi.AuditCommand("ROOT"), adminapi.AuditCommand(adminapi.NumberingTermination), adminapi.ClockCommand("agent-1", adminapi.ClockStamps{}), adminapi.DrainCommand("ROOT")} {
@@ -328,7 +328,7 @@
 	}
 }
 
-// The bytes that exchanges, callers and operators receive in a fixed script of calls are as committed.
+// The bytes that exchanges, callers and operators receive during a fixed script of calls match the golden file.
 func TestGoldenTranscript(t *testing.T) {
 	t.Parallel()
 	s := startGoldenScript(t)
--- a/internal/server/incident_test.go
+++ b/internal/server/incident_test.go
@@ -17,14 +17,14 @@
 
 const (
 	incidentServers = 4
-	skewedServer    = 1 // its clock is clockSkew ahead
-	steppedServer   = 2 // its clock is set back by clockStep
+	skewedServer    = 1 // has a clock that is clockSkew ahead
+	steppedServer   = 2 // has a clock that is set back by clockStep
 	killedServer    = 3
 	clockSkew       = 3700 * time.Millisecond
 	clockStep       = 2 * time.Second
 )
 
-// An incidentRun is an incident on several servers with the same exchanges.
+// An incidentRun simulates an incident on several servers that share their exchanges.
 type incidentRun struct {
 	t       *testing.T
 	shared  *fleet
@@ -34,10 +34,10 @@
 	servers [incidentServers]*testServer
 	callers [incidentServers]*jsonCaller
 	stamps  [incidentServers]adminapi.ClockStamps
-	dirs    [incidentServers]string // of the records
+	dirs    [incidentServers]string // folders of the records
 }
 
-// An incidentSum is the sum of the records of all servers.
+// An incidentSum holds totals of the records of all servers.
 type incidentSum struct{ offered, established, failed, attempts uint64 }
 
 func startIncident(t *testing.T) *incidentRun {
@@ -57,17 +57,17 @@
 	r.callers[i] = dialJSONCaller(r.t, r.servers[i].jsonAddress(), r.answers, idPrefix)
 }
 
-// restart ends the first server in good order and starts it again: its next records are another segment.
+// restart stops the first server in an orderly way and starts it again, which begins a new record segment.
 func (r *incidentRun) restart() {
 	r.t.Helper()
 	r.servers[0].stop(r.t)
-	// A slow disk may take longer than a server waits.
-	eventually(r.t, "its store is let go", func() bool { return !record.Live(r.dirs[0]) })
+	// With a slow disk the record log may still be open when the server has ended.
+	eventually(r.t, "the record log is closed", func() bool { return !record.Live(r.dirs[0]) })
 	r.stamps[0] = adminapi.ClockStamps{}
 	r.start(0, fmt.Sprintf("%08x", time.Now().UnixNano()&0xffffffff))
 }
 
-// exchangeClocks exchanges time stamps with all servers.
+// exchangeClocks exchanges clock time stamps with all servers.
 func (r *incidentRun) exchangeClocks() {
 	r.t.Helper()
 	for i, s := range r.servers {
@@ -79,7 +79,7 @@
 	}
 }
 
-// call sets so many calls up at each server and awaits their answers.
+// call sets up n calls at each server and waits for their answers.
 func (r *incidentRun) call(number string, n int) {
 	r.t.Helper()
 	var keys []string
@@ -93,7 +93,7 @@
 	}
 }
 
-// drainExchange drains an exchange and waits until all servers know.
+// drainExchange drains an exchange and waits until all servers have learned of it.
 func (r *incidentRun) drainExchange(i int) {
 	r.t.Helper()
 	lines := append([]endpointLine(nil), r.shared.lines...)
@@ -108,7 +108,8 @@
 	}
 }
 
-// kill copies the records of a server as a kill at this moment would leave them. The server itself goes on.
+// kill copies the records of a server in the state that a kill at this moment would leave. The server itself keeps
+// running.
 func (r *incidentRun) kill(i int) (dir string) {
 	r.t.Helper()
 	eventually(r.t, "the records of the server are on disk", func() bool {
@@ -122,7 +123,7 @@
 	return dir
 }
 
-// run runs the incident.
+// run runs the whole incident.
 func (r *incidentRun) run() {
 	r.t.Helper()
 	r.exchangeClocks()
@@ -139,7 +140,7 @@
 	killed := r.kill(killedServer)
 	r.shared.exchanges[2].stop()
 	r.call("ok", 5)
-	time.Sleep(checkInterval + 100*time.Millisecond) // clocks are checked once in checkInterval
+	time.Sleep(checkInterval + 100*time.Millisecond) // clocks are checked once per checkInterval
 	r.exchangeClocks()
 	for _, s := range r.servers {
 		s.stop(r.t)
@@ -160,7 +161,7 @@
 	}
 }
 
-// keep copies the records to the folder that KEEP_INCIDENT names.
+// keep copies the records to the folder named by the environment variable KEEP_INCIDENT, if set.
 func (r *incidentRun) keep() {
 	keep := os.Getenv("KEEP_INCIDENT")
 	if keep == "" {
@@ -171,8 +172,8 @@
 	}
 }
 
-// checkInstance compares the report on a server with a count of its records, and where its records are complete with
-// what its manager of calls counted.
+// checkInstance compares the report on a server with a count of its records and, if its records are complete, with the
+// counters of its call manager.
 func (r *incidentRun) checkInstance(i int, in *incident.Instance, counts map[string]uint64) {
 	c := in.Total
 	for what, got := range map[string]uint64{
@@ -186,7 +187,7 @@
 		"release":        c.Released,
 	} {
 		if got != counts[what] {
-			r.t.Errorf("%s: %d %s, one by one %d", in.Name, got, what, counts[what])
+			r.t.Errorf("%s: the report has %d %s, the records have %d", in.Name, got, what, counts[what])
 		}
 	}
 	if i != skewedServer && i != steppedServer {
@@ -195,51 +196,51 @@
 	counted := &r.servers[i].server.calls.Counters
 	if c.Offered != uint64(counted.Requests) || c.Established() != uint64(counted.Established) ||
 		c.Attempts != uint64(counted.Attempts) || in.Incomplete {
-		r.t.Errorf("%s: %+v, the manager of calls counted %+v", in.Name, c.Counts, counted)
+		r.t.Errorf("%s: the report has %+v, the call manager counted %+v", in.Name, c.Counts, counted)
 	}
 }
 
-// checkFindings compares what the report has found with what has happened.
+// checkFindings compares the findings of the report with the simulated events.
 func (r *incidentRun) checkFindings(findings []incident.Finding) {
 	found := make(map[string]int)
 	for _, f := range findings {
 		found[f.Kind]++
 		switch f.Kind {
 		case incident.FoundStep:
-			// Two clocks are read one after the other, and the process may be descheduled between the two.
+			// The two clocks are read one after the other, and the process may be descheduled in between.
 			_, text, _ := strings.Cut(f.Text, "set by ")
 			text, _, _ = strings.Cut(text, ";")
 			by, err := time.ParseDuration(text)
 			if f.Instance != "n2" || err != nil || (by+clockStep).Abs() > 50*time.Millisecond {
-				r.t.Errorf("%+v, %v", f, err)
+				r.t.Errorf("clock step: %+v, %v", f, err)
 			}
 		case incident.FoundDrain:
 			if f.Server != "s-1" || len(f.Noticed) != incidentServers {
-				r.t.Errorf("%+v", f)
+				r.t.Errorf("drain: %+v", f)
 			}
 			for _, n := range f.Noticed[1:] {
 				if n.MinDelay > time.Second || n.MaxDelay < -time.Second {
-					r.t.Errorf("%s noticed it %v to %v after the first", n.Instance, n.MinDelay, n.MaxDelay)
+					r.t.Errorf("%s noticed the drain %v to %v after the first server", n.Instance, n.MinDelay, n.MaxDelay)
 				}
 			}
 		case incident.FoundSkew:
 			if f.Instance != "n1" {
-				r.t.Errorf("%+v", f)
+				r.t.Errorf("clock skew: %+v", f)
 			}
 		}
 	}
 	if found[incident.FoundStep] != 1 || found[incident.FoundDrain] != 1 || found[incident.FoundSkew] != 1 ||
 		found[incident.FoundLateSend] != 0 {
-		r.t.Errorf("found %v", found)
+		r.t.Errorf("findings by kind: %v", found)
 	}
 }
 
-// checkTotal compares the totals of the report with the sum of all records.
+// checkTotal compares the totals of the report with the totals of all records.
 func (r *incidentRun) checkTotal(report *incident.Report, sum incidentSum) {
 	total := report.Total
 	if total.Offered != sum.offered || total.Established() != sum.established ||
 		total.Outcome(record.OutcomeFailed) != sum.failed || total.Attempts != sum.attempts {
-		r.t.Errorf("in all %+v, one by one %+v", total.Counts, sum)
+		r.t.Errorf("the report has the totals %+v, the records have %+v", total.Counts, sum)
 	}
 	var windows incident.Counts
 	for _, w := range report.Windows {
@@ -250,13 +251,14 @@
 		}
 	}
 	if windows.Offered != sum.offered || windows.Outcomes != total.Outcomes || windows.Dropped != total.Dropped {
-		r.t.Errorf("windows hold %+v of %+v", windows, total.Counts)
+		r.t.Errorf("the windows add up to %+v, want %+v", windows, total.Counts)
 	}
 }
 
-// TestIncident runs an incident on four servers: one is killed, one's clock is 3.7 s ahead, one's is set back by 2 s
-// in the middle, one loses a segment; an exchange drains, another dies. The report must equal a count of the records
-// one by one, and for servers without gaps what the managers of calls counted.
+// TestIncident simulates an incident on four servers: one is killed, the clock of one is 3.7 s ahead, the clock of one
+// is set back by 2 s in the middle, and one loses a record segment; one exchange drains and another dies. The report
+// must agree with an independent count of the records and, for servers with complete records, with the counters of the
+// call managers.
 func TestIncident(t *testing.T) {
 	t.Parallel()
 	r := startIncident(t)
@@ -277,19 +279,19 @@
 	}
 	r.checkTotal(report, sum)
 	if !report.Instances[killedServer].Incomplete || !report.Incomplete {
-		t.Error("records without an end are taken for complete")
+		t.Error("records without an end are reported as complete")
 	}
 	first := report.Instances[0]
 	if !first.Incomplete || first.Lost != counts[0]["lost"] || first.Lost == 0 || len(first.Starts) != 2 {
-		t.Errorf("a segment is gone: %+v", first)
+		t.Errorf("the server with a lost segment: %+v", first)
 	}
 	o := report.Instances[skewedServer].Starts[0].Offset
 	if !o.Known || o.Min > clockSkew || o.Max < clockSkew || o.Max-o.Min > time.Second {
-		t.Errorf("the skewed clock: %v to %v", o.Min, o.Max)
+		t.Errorf("the offset of the skewed clock is %v to %v", o.Min, o.Max)
 	}
 	r.checkFindings(report.Findings)
 	seen := r.shared.observations
 	if n := seen.total(&seen.simultaneousAttempts) + seen.total(&seen.earlyRetries); n != 0 {
-		t.Errorf("%d rules broken", n)
+		t.Errorf("%d simultaneous attempts or early retries, want none", n)
 	}
 }
--- a/internal/server/late_connections_test.go
+++ b/internal/server/late_connections_test.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// startStopping brings a server without pending work to the state stopping.
+// startStopping moves a server without pending work to the stopping state.
 func (b *testbed) startStopping() {
 	b.t.Helper()
 	b.server.Stop()
@@ -23,12 +23,12 @@
 		b.server.checkDraining(b.server.loop.Now())
 	})
 	if b.isServing() {
-		b.t.Fatal("the server has not begun to end")
+		b.t.Fatal("the server is not in the stopping state")
 	}
 }
 
-// Whoever connects as the process ends gets a rejection, a failed test or a close; then nobody listens any more, and
-// all of it ends soon, also beside a client that stays silent.
+// Clients that connect while the process ends receive a rejection, an echo that reports a failure, or a close. After
+// that no socket listens any more. A silent client does not delay the end.
 func TestLateConnections(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	start := time.Now()
 	bed.awaitEnd()
 	if took := time.Since(start); took > lateAcceptTimeout+lateReadTimeout+time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("the server ended after %v", took)
 	}
 	if rejected := bed.server.frontends.host.Counters.LateSetups; rejected != 1 {
 		t.Errorf("%d set-ups were rejected, want 1", rejected)
@@ -61,30 +61,31 @@
 		echo:  `"verb":"ECHOED","tag":"t","opts":{},"rc":0`,
 	} {
 		if line, err := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(line, want) {
-			t.Errorf("got %q, %v; want %s", line, err, want)
+			t.Errorf("received %q, %v; want %s", line, err, want)
 		}
 	}
 	for _, conn := range []net.Conn{garbage, silent} {
 		if n, err := conn.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("got %d bytes, %v; want a close", n, err)
+			t.Errorf("received %d bytes, %v; want a close", n, err)
 		}
 	}
 	if _, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("afterwards: %v, want a refusal", err)
+		t.Errorf("dial after the end: %v, want a refused connection", err)
 	}
 	if exchange.countReceived("INVITE", testCallID) != 0 {
-		t.Error("a late set-up went to an exchange")
+		t.Error("a late set-up was sent to an exchange")
 	}
 }
 
-// A set-up of which part has come as the connections are closed is awaited and rejected on its own connection.
+// Part of a set-up has been received when the connections are closed. The server waits for the rest and rejects the
+// set-up on its connection.
 func TestPartialSetupIsAwaitedAtTheEnd(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{})
 	text := jsonSetup(testCallID, 2*time.Second)
 	_, _ = bed.caller.conn.Write(text[:len(text)/2])
-	eventually(t, "half of the set-up has come", func() (has bool) {
+	eventually(t, "half of the set-up is received", func() (has bool) {
 		bed.runIteration(func() { has = bed.findClient("").Conn().HasPartialMessage() })
 		return has
 	})
@@ -96,8 +97,8 @@
 	bed.awaitEnd()
 }
 
-// An exchange's release that comes as the process ends is not confirmed, because no caller can be notified any more:
-// the exchange repeats it to the next process. A caller's release is not confirmed either.
+// A release by an exchange that arrives while the process ends is not confirmed, because no caller can be notified any
+// more; the exchange repeats it to the next process. A release by a caller is not confirmed either.
 func TestReleasesAreNotConfirmedAtTheEnd(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -116,7 +117,7 @@
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	_, _ = conn.Write(jsonMessage(jsonl.Finish, id))
 	if text, _ := io.ReadAll(conn); len(text) > 0 {
-		t.Errorf("the caller got %q", text)
+		t.Errorf("the caller received %q, want nothing", text)
 	}
 	bed.awaitEnd()
 	if exchange.countReceived("", id) != 0 || exchange.countReceived("BYE", id) != 0 {
--- a/internal/server/load_test.go
+++ b/internal/server/load_test.go
@@ -9,18 +9,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A loadGenerator sets calls up on several callers and records when each gets its first answer and its end.
+// A loadGenerator sets up calls from several callers and records the times of the first answer and the end of each call.
 type loadGenerator struct {
 	answers *answerLog
 	callers []testCaller
-	timeout time.Duration // the callers' time
-	slots   chan struct{} // calls that are open, at the most
+	timeout time.Duration // of each set-up
+	slots   chan struct{} // limits the number of open calls
 
 	mu              sync.Mutex
-	sentAt          map[string]time.Time // when it was due: a stall of this side counts
+	sentAt          map[string]time.Time // scheduled time, so that delays of the generator count as latency
 	answeredAt      map[string]time.Time
 	ended           map[string]bool
-	answersAfterEnd int // answers after the end of a call
+	answersAfterEnd int // answers received after the end of a call
 	number          map[string]string
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// run sets so many calls up, at a rate a second or, at 0, as fast as they end.
+// run sets up n calls, at rate calls per second or, if rate is 0, as fast as calls end.
 func (l *loadGenerator) run(n int, rate float64, number func(i int) string) {
 	began := time.Now()
 	for i := range n {
@@ -68,8 +68,8 @@
 	}
 }
 
-// awaitEnds waits until all calls have ended; each must have its first answer in time. It returns how long that took
-// for those whose first attempt is established.
+// awaitEnds waits until all calls have ended and checks that each was answered in time. It returns the times to the
+// first answer of the calls whose first attempt is established.
 func (l *loadGenerator) awaitEnds(t testing.TB) *hdrhistogram.Histogram {
 	t.Helper()
 	open := func() int {
@@ -94,12 +94,12 @@
 			late++
 		}
 		if l.number[key][len(l.number[key])-1] >= '5' {
-			continue // its first attempt is rejected: how long that takes is up to the exchange
+			continue // the first attempt is rejected, so the latency depends on the exchange
 		}
 		_ = took.RecordValue(max(first.Sub(sent).Microseconds(), 1))
 	}
 	if silent > 0 || late > 0 || l.answersAfterEnd > 0 {
-		t.Errorf("of %d calls %d have no answer or no end, %d were answered late, %d words came after the end", len(l.sentAt), silent, late, l.answersAfterEnd)
+		t.Errorf("of %d calls %d have no answer or no end and %d were answered late; %d answers came after the end", len(l.sentAt), silent, late, l.answersAfterEnd)
 	}
 	return took
 }
