--- a/internal/server/lost_answers_test.go
+++ b/internal/server/lost_answers_test.go
@@ -13,19 +13,20 @@
 	"olivedale/internal/reachability"
 )
 
-// An answer that is lost with its connection leaves a call standing at its exchange that nobody knows of: what was
-// asked for there is released on the next connection, unless the exchange has it again by then.
+// An answer that is lost with its connection leaves an established call at the exchange that the controller does not
+// know of. Unanswered attempts are therefore released on the next connection, unless a new attempt of the call has been
+// sent to the exchange by then.
 func TestAttemptIsReleasedAfterItsConnectionIsLost(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name string
 		lose func(bed *testbed, x *fakeExchange, id string)
 	}{
-		{"reset under the attempt", func(_ *testbed, x *fakeExchange, _ string) { resetConn(x.awaitConn()) }},
-		{"closed behind what cannot be read", func(_ *testbed, x *fakeExchange, id string) {
+		{"reset during the attempt", func(_ *testbed, x *fakeExchange, _ string) { resetConn(x.awaitConn()) }},
+		{"closed after a malformed message", func(_ *testbed, x *fakeExchange, id string) {
 			x.send(append([]byte("SIP/2.0 2x0 OK\r\n\r\n"), sipResponse(id, "INVITE", 200, 1, "a")...))
 		}},
-		{"reset under its cancellation", func(bed *testbed, x *fakeExchange, id string) {
+		{"reset during the cancellation", func(bed *testbed, x *fakeExchange, id string) {
 			bed.caller.hangUp(id)
 			x.awaitReceived("CANCEL", id, 1)
 			resetConn(x.awaitConn())
@@ -56,14 +57,14 @@
 	bed.answers.await(t, id, 1)
 	resetConn(x.awaitConn())
 	x.awaitConnections(2)
-	x.send(sipRelease("00000000000000ff", 16)) // a message both ways: what was to be sent before has been
+	x.send(sipRelease("00000000000000ff", 16)) // the round trip shows that anything sent earlier has arrived
 	bed.answers.await(t, "00000000000000ff", 1)
 	if n := x.countReceived("BYE", id); n != 0 {
-		t.Errorf("%d releases of attempts that were answered", n)
+		t.Errorf("%d releases of answered attempts, want none", n)
 	}
 }
 
-// awaitConnections waits until so many connections have been accepted.
+// awaitConnections waits until n connections have been accepted.
 func (e *fakeExchange) awaitConnections(n int) {
 	e.t.Helper()
 	eventually(e.t, "another connection to the exchange", func() bool {
@@ -73,7 +74,7 @@
 	})
 }
 
-// An unreachableDialer times dials out while it is set.
+// An unreachableDialer makes all dials time out while isSet is true.
 type unreachableDialer struct{ isSet atomic.Bool }
 
 func (d *unreachableDialer) configure(o *Options) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// A quiet exchange is probed while a call stands there. What it sends on a probe is handled, and the probe closes; its
-// own connection stays.
+// A silent exchange is probed while it has an established call. Input on the probe connection is processed and the probe
+// is closed; the original connection stays open.
 func TestReleaseOnAProbe(t *testing.T) {
 	t.Parallel()
 	x := startFakeExchange(t, "127.0.0.1:0")
@@ -99,9 +100,9 @@
 	start := time.Now()
 	x.awaitConnections(2)
 	if quiet := time.Since(start); quiet < reachability.ProbeAfter-50*time.Millisecond {
-		t.Errorf("probed after %v", quiet)
+		t.Errorf("probed after only %v", quiet)
 	}
-	x.send(sipRelease(id, 16)) // on the latest connection
+	x.send(sipRelease(id, 16)) // on the latest connection, which is the probe
 	bed.answers.await(t, id, 2)
 	x.mu.Lock()
 	first, probe := x.conns[0], x.conns[1]
@@ -118,19 +119,19 @@
 		return false
 	})
 	_ = probe.Close()
-	time.Sleep(2 * reachability.ProbeAfter) // no call stands any more: there is no further probe
+	time.Sleep(2 * reachability.ProbeAfter) // without an established call there are no further probes
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(x.conns) != 2 || x.conns[0] != first {
-		t.Errorf("%d connections", len(x.conns))
+		t.Errorf("%d connections, want 2", len(x.conns))
 	}
 	if _, err := first.Write(sipRelease("00000000000000fe", 16)); err != nil {
-		t.Errorf("the first connection has ended: %v", err)
+		t.Errorf("the first connection is closed: %v", err)
 	}
 }
 
-// The machine of an exchange could not be reached for some seconds, and nobody listens when it can be: its process has
-// ended, though its old connection is open and silent.
+// The host of an exchange is unreachable for some seconds and then refuses connections. The exchange process has ended,
+// although its old connection is still open and silent, so its calls are released.
 func TestRefusalBehindAnOutageEndsCalls(t *testing.T) {
 	t.Parallel()
 	x := startFakeExchange(t, "127.0.0.1:0")
@@ -152,11 +153,11 @@
 		t.Errorf("got %q", got)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("told %v after the machine refused connections", took)
+		t.Errorf("the caller was notified %v after the host refused connections", took)
 	}
 }
 
-// Errors of this machine say nothing of an exchange: with no descriptor left, no call is ended.
+// Local errors, such as a lack of descriptors, do not make an exchange count as unreachable. No call is released.
 func TestLackOfDescriptorsIsNoOutage(t *testing.T) {
 	t.Parallel()
 	x := startFakeExchange(t, "127.0.0.1:0")
@@ -175,15 +176,15 @@
 	bed.answers.await(t, id, 1)
 	fails.Store(true)
 	time.Sleep(reachability.MaxSilence + reachability.ProbeAfter)
-	var standing int
-	bed.runIteration(func() { standing = bed.server.calls.EstablishedAt("s-0") })
-	if standing != 1 {
-		t.Errorf("%d calls stand", standing)
+	var established int
+	bed.runIteration(func() { established = bed.server.calls.EstablishedAt("s-0") })
+	if established != 1 {
+		t.Errorf("%d calls are established, want 1", established)
 	}
 }
 
-// A call that a gateway has asked for ends as well where its exchange has vanished, and is released there when the
-// exchange is back.
+// An exchange with a call of a gateway becomes unreachable. The gateway is notified that the call has ended, and the
+// call is released at the exchange when it is reachable again.
 func TestVanishedExchangeEndsCallsOfGateways(t *testing.T) {
 	t.Parallel()
 	x := startFakeExchange(t, "127.0.0.1:0")
@@ -198,7 +199,7 @@
 	start := time.Now()
 	eventually(t, "the gateway is notified", func() bool { return strings.HasSuffix(bed.answers.of(key), "end 41") })
 	if took := time.Since(start); took > 8*time.Second || took < 6*time.Second {
-		t.Errorf("notified after %v", took)
+		t.Errorf("the gateway was notified after %v", took)
 	}
 	dialer.isSet.Store(false)
 	x.awaitReceived("BYE", id, 1)
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -18,20 +18,21 @@
 	"olivedale/internal/record"
 )
 
-// numberRules are rules by which all numbers go to one pool, except those that begin with 9, which are barred. The
-// numbers consist of digits, and a simulated exchange answers every one of them.
+// numberRules returns rules that route all numbers to one pool, except numbers that begin with 9, which are barred. The
+// numbers consist of digits, which name no behavior: a simulated exchange does not answer the first attempt and
+// establishes later ones.
 func numberRules(pool int) string {
 	return fmt.Sprintf("version = \"to %d\"\ndefault = \"r\"\n[[barred]]\nprefix = \"9\"\ncause = 17\n[[route]]\nname = \"r\"\n[[route.target]]\npool = %d\n", pool, pool)
 }
 
-// A tableRun is a server whose table of numbers changes while calls are being set up.
+// A tableRun is a server whose numbering table changes while calls are being set up.
 type tableRun struct {
 	*testServer
 	t      *testing.T
 	fleet  *fleet
 	file   string
-	dir    string         // of the records
-	pools  map[string]int // that all numbers go to, by the digest of a table
+	dir    string         // folder of the records
+	pools  map[string]int // pool of all numbers, by table digest
 	caller *jsonCaller
 	log    *answerLog
 }
@@ -47,7 +48,7 @@
 		log:   newAnswerLog(),
 	}
 	for _, s := range r.fleet.exchanges {
-		s.answersNothing = true // a call on an unresponsive connection is tried again: it must not be established then
+		s.answersNothing = true // otherwise a retry after an unresponsive connection would be established
 	}
 	r.writeTable(0)
 	r.fleet.numbers = &config.Numbering{File: r.file}
@@ -56,7 +57,7 @@
 	return r
 }
 
-// writeTable writes a table by which all numbers go to one pool.
+// writeTable writes a table that routes all numbers to one pool.
 func (r *tableRun) writeTable(pool int) {
 	r.t.Helper()
 	if err := os.WriteFile(r.file, []byte(numberRules(pool)), 0o600); err != nil {
@@ -76,7 +77,7 @@
 	return <-versions
 }
 
-// callsOf returns the number of calls that go by the tables of a pool.
+// callsOf returns the number of calls that use a table of the given pool.
 func (r *tableRun) callsOf(pool int) (calls int) {
 	for _, v := range r.versions() {
 		if r.pools[v.Digest] == pool {
@@ -86,12 +87,12 @@
 	return calls
 }
 
-// swapTable puts the table of a pool in force.
+// swapTable activates a table of the given pool.
 func (r *tableRun) swapTable(pool int) {
 	r.t.Helper()
 	r.writeTable(pool)
 	r.server.ReloadNumbering()
-	eventually(r.t, "the table is in force", func() bool {
+	eventually(r.t, "the table is active", func() bool {
 		for _, v := range r.versions() {
 			if v.State == numbering.StateActive {
 				return r.pools[v.Digest] == pool
@@ -101,7 +102,7 @@
 	})
 }
 
-// reloadBadTable checks that a bad table changes nothing.
+// reloadBadTable checks that reloading an invalid table changes nothing.
 func (r *tableRun) reloadBadTable() {
 	r.t.Helper()
 	writeFile(r.t, r.file, "default = \"none\"")
@@ -109,11 +110,11 @@
 	r.server.ReloadNumbering()
 	after := r.versions()
 	if len(after) != len(before) || after[0].Digest != before[0].Digest || after[0].State != before[0].State {
-		r.t.Errorf("a bad table: %+v, before %+v", after, before)
+		r.t.Errorf("an invalid table changed the versions from %+v to %+v", before, after)
 	}
 }
 
-// checkRecords compares the records, call by call, with the tables.
+// checkRecords checks in the records that each call was routed by its table.
 func (r *tableRun) checkRecords() {
 	r.t.Helper()
 	reader, err := record.OpenDir(r.dir)
@@ -132,12 +133,12 @@
 			}
 			pool, ok := r.pools[rec.Text]
 			if !ok {
-				r.t.Errorf("%s went by a table that there is not: %q", rec.Call, rec.Text)
+				r.t.Errorf("call %s was routed by the unknown table %q", rec.Call, rec.Text)
 			}
 			pools[rec.Call] = pool
 		case record.KindAttemptStarted:
 			if want := fmt.Sprint("s-", pools[rec.Call]); rec.Server != want {
-				r.t.Errorf("%s went to %s, its table says %s", rec.Call, rec.Server, want)
+				r.t.Errorf("call %s was sent to %s, its table has %s", rec.Call, rec.Server, want)
 			}
 			attempts[pools[rec.Call]]++
 		}
@@ -147,37 +148,37 @@
 	}
 }
 
-// Tables are changed while calls are being set up and others arrive: each call goes by the table that it began with,
-// and by no other, as its records show.
+// The table changes while calls are being set up and others arrive. The records must show that each call is routed only
+// by the table that was active when it began.
 func TestTableSwappedInService(t *testing.T) {
 	t.Parallel()
 	r := startTableRun(t)
 	attemptsTo := r.fleet.observations.attemptsTo
 	if got := r.log.await(t, r.caller.setUp("911", 4*time.Second), 1); got != "end 17" {
-		t.Errorf("a barred number: %q", got)
+		t.Errorf("a call to a barred number: got %q", got)
 	}
 	const number = "100"
 	first := r.caller.setUp(number, 8*time.Second)
-	eventually(t, "it is at the exchange of pool 0", func() bool { return attemptsTo(number) >= 1 })
+	eventually(t, "the call is at the exchange of pool 0", func() bool { return attemptsTo(number) >= 1 })
 	for i := range 6 {
 		r.swapTable((i + 1) % 2)
 		number := fmt.Sprint("20", i)
 		key := r.caller.setUp(number, 8*time.Second)
-		eventually(t, "it is at an exchange or rejected", func() bool {
+		eventually(t, "the call is at an exchange or rejected", func() bool {
 			return attemptsTo(number) >= 1 || r.log.of(key) != ""
 		})
 	}
 	if r.callsOf(0) == 0 || r.callsOf(1) == 0 {
-		t.Errorf("calls hold %+v", r.versions())
+		t.Errorf("versions used by calls: %+v", r.versions())
 	}
 	r.reloadBadTable()
-	// The connection of the first call counts as unresponsive, as it does where this test is slow: the call is tried
-	// again, by the table that it began with.
+	// The connection of the first call is closed as unresponsive, which also happens when this test runs slowly. The
+	// call is tried again, using the table that it began with.
 	before := attemptsTo(number)
 	r.server.loop.ExecuteIteration(func() { r.server.backends.Get("s-0").Disconnect(call.Unresponsive) })
-	eventually(t, "it is tried again", func() bool { return attemptsTo(number) > before })
+	eventually(t, "the call is tried again", func() bool { return attemptsTo(number) > before })
 	if r.callsOf(0) == 0 || r.callsOf(1) == 0 {
-		t.Errorf("while one is tried again calls hold %+v", r.versions())
+		t.Errorf("versions used by calls after a retry: %+v", r.versions())
 	}
 	r.caller.hangUp(first)
 	r.caller.close()
@@ -186,7 +187,7 @@
 	r.checkRecords()
 }
 
-// A versionRun is a server whose versions of the table are changed over the admin address.
+// A versionRun is a server whose table versions are changed over the admin address.
 type versionRun struct {
 	*testServer
 	t     *testing.T
@@ -228,7 +229,7 @@
 	return versions, job, nil
 }
 
-// list returns the versions that the server holds, and the last order.
+// list returns the versions that the server holds and the job of the last command.
 func (r *versionRun) list() ([]numbering.VersionStatus, numbering.Job) {
 	r.t.Helper()
 	versions, job, err := r.ask(adminapi.AuditCommand(adminapi.NumberingTermination))
@@ -238,7 +239,7 @@
 	return versions, job
 }
 
-// digestWhere returns the digest of the version that matches; "": there is none.
+// digestWhere returns the digest of the version that matches, or "" if there is none.
 func (r *versionRun) digestWhere(matches func(numbering.VersionStatus) bool) (digest string) {
 	r.t.Helper()
 	versions, _ := r.list()
@@ -250,17 +251,17 @@
 	return digest
 }
 
-// inForce returns the digest of the version in force.
+// inForce returns the digest of the active version.
 func (r *versionRun) inForce() string {
 	return r.digestWhere(func(v numbering.VersionStatus) bool { return v.State == numbering.StateActive })
 }
 
-// waiting returns the digest of the version that is to come into force later.
+// waiting returns the digest of the version that is scheduled for activation.
 func (r *versionRun) waiting() string {
 	return r.digestWhere(func(v numbering.VersionStatus) bool { return v.State == numbering.StateScheduled })
 }
 
-// order gives an order and waits for its end.
+// order sends a command and waits until its job has ended.
 func (r *versionRun) order(o numbering.Command) numbering.Job {
 	r.t.Helper()
 	_, begun, err := r.ask(adminapi.NumberingCommand(o))
@@ -268,60 +269,61 @@
 		return numbering.Job{Error: err.Error()}
 	}
 	var job numbering.Job
-	eventually(r.t, "the order ends", func() bool {
+	eventually(r.t, "the job has ended", func() bool {
 		_, job = r.list()
 		return job.ID == begun.ID && !job.IsRunning
 	})
 	return job
 }
 
-// changeVersions loads a second version and puts it in force, and the first again in an hour. It returns their digests.
+// changeVersions loads a second version, activates it, and schedules the first one again in an hour. It returns the
+// digests of both.
 func (r *versionRun) changeVersions() (first, second string) {
 	r.t.Helper()
 	first = r.inForce()
 	bad := numbering.Command{Op: numbering.OpLoad, File: r.writeRules("bad.toml", "default = \"none\"")}
 	if job := r.order(bad); !strings.Contains(job.Error, "there is no route") {
-		r.t.Errorf("a bad file: %+v", job)
+		r.t.Errorf("loading an invalid file: %+v", job)
 	}
 	load := numbering.Command{Op: numbering.OpLoad, File: r.writeRules("second.toml", numberRules(1))}
 	loaded := r.order(load)
 	second = loaded.Digest
 	if loaded.Error != "" || second == "" || r.inForce() != first {
-		r.t.Fatalf("%+v; in force %s", loaded, r.inForce())
+		r.t.Fatalf("loading a version: %+v; active version %s", loaded, r.inForce())
 	}
 	job := r.order(numbering.Command{Op: numbering.OpActivate, Digest: second, ExpectedActive: first})
 	if job.Error != "" || r.inForce() != second {
-		r.t.Fatalf("%+v; in force %s", job, r.inForce())
+		r.t.Fatalf("activating a version: %+v; active version %s", job, r.inForce())
 	}
 	job = r.order(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: first})
 	if !strings.Contains(job.Error, "not the one you saw") || r.inForce() != second {
-		r.t.Errorf("the second of two operators: %+v", job)
+		r.t.Errorf("an activation with an outdated expected version: %+v", job)
 	}
 	inAnHour := time.Duration(time.Now().Add(time.Hour).UnixNano())
 	job = r.order(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: second, ActivateAt: inAnHour})
 	if job.Error != "" {
-		r.t.Errorf("%+v", job)
+		r.t.Errorf("scheduling a version: %+v", job)
 	}
 	if versions, _ := r.list(); len(versions) != 2 {
-		r.t.Errorf("%+v", versions)
+		r.t.Errorf("want two versions, got %+v", versions)
 	}
 	return first, second
 }
 
-// checkInvalidOrders checks that an order needs a form and the admin address.
+// checkInvalidOrders checks that empty commands and commands on the gateway address are rejected.
 func (r *versionRun) checkInvalidOrders() {
 	r.t.Helper()
 	empty := &h248.Command{Name: "Modify", Termination: adminapi.NumberingTermination}
 	if _, _, err := r.ask(empty); err == nil {
-		r.t.Error("an empty order was taken")
+		r.t.Error("an empty command was accepted")
 	}
 	cancel := adminapi.NumberingCommand(numbering.Command{Op: numbering.OpCancel})
 	if _, err := adminapi.Send(context.Background(), r.gatewayAddress(), cancel); err == nil {
-		r.t.Error("a gateway may order")
+		r.t.Error("a command on the gateway address was accepted")
 	}
 }
 
-// restartAfterKill starts the server from what a kill leaves: the folder as it is now.
+// restartAfterKill restarts the server from a copy of its current state folder, which is what a kill would leave.
 func (r *versionRun) restartAfterKill() {
 	r.t.Helper()
 	killed := filepath.Join(r.dir, "killed")
@@ -331,7 +333,7 @@
 	r.start()
 }
 
-// tearState cuts the last state of the store in half.
+// tearState truncates the latest stored state to half of its length.
 func (r *versionRun) tearState() {
 	r.t.Helper()
 	files, err := filepath.Glob(filepath.Join(r.fleet.numbers.State, stateName+"-*"))
@@ -348,7 +350,7 @@
 	}
 }
 
-// damageRules destroys the stored rules of a version.
+// damageRules overwrites the stored rules of a version.
 func (r *versionRun) damageRules(digest string) {
 	r.t.Helper()
 	rules, err := filepath.Glob(filepath.Join(r.fleet.numbers.State, digest+"-*"))
@@ -360,8 +362,8 @@
 	}
 }
 
-// Versions are loaded and put in force over the admin address; of two operators one wins; what is in force survives a
-// kill, and a damaged version gives way to the last good one.
+// Versions are loaded and activated over the admin address. If two operators activate concurrently, only one succeeds.
+// The active version survives a kill, and a damaged version is replaced by the last valid one.
 func TestVersionsInService(t *testing.T) {
 	t.Parallel()
 	r := startVersionRun(t)
@@ -374,27 +376,28 @@
 		t.Errorf("after a kill: %+v", versions)
 	}
 	if job := r.order(numbering.Command{Op: numbering.OpCancel}); job.Error != "" {
-		t.Errorf("%+v", job)
+		t.Errorf("canceling the scheduled version: %+v", job)
 	}
 	job := r.order(numbering.Command{Op: numbering.OpRollback, ExpectedActive: second})
 	if job.Error != "" || r.inForce() != first {
-		t.Errorf("%+v; in force %s", job, r.inForce())
+		t.Errorf("rolling back: %+v; active version %s", job, r.inForce())
 	}
 	r.stop(t)
 
-	// The last state is torn: the one before holds, in which the second was in force.
+	// The latest state is truncated, so the one before is restored, in which the second version was active.
 	r.tearState()
 	r.start()
 	if got := r.inForce(); got != second {
-		t.Errorf("after a torn state %s is in force", got)
+		t.Errorf("with a truncated state %s is the active version", got)
 	}
 	r.stop(t)
 
-	// The rules of the version in force are damaged: the state before, which names another, holds.
+	// The rules of the active version are damaged, so the state before is restored, in which the first version was
+	// active.
 	r.damageRules(second)
 	r.start()
 	if got := r.inForce(); got != first {
-		t.Errorf("with damaged rules %s is in force", got)
+		t.Errorf("with damaged rules %s is the active version", got)
 	}
 	r.stop(t)
 }
