--- a/internal/server/observations_test.go
+++ b/internal/server/observations_test.go
@@ -11,22 +11,22 @@
 
 const retryGuard = 300 * time.Millisecond
 
-// callObservations is what all simulated exchanges observe together.
+// callObservations collects the observations of all simulated exchanges of a test.
 type callObservations struct {
 	mu                   sync.Mutex
-	openAttempts         map[string]bool      // an attempt is open
-	guardedSince         map[string]time.Time // when an attempt ended after which the retry guard holds
-	attempts             map[string]int       // by the number called
-	simultaneousAttempts int                  // attempts beside another open one
-	earlyRetries         int                  // attempts within the retry guard
-	abandonedAttempts    int                  // attempts of calls whose callers had left
-	canceled             int                  // set-ups cancelled by the server
+	openAttempts         map[string]bool      // calls with an open attempt
+	guardedSince         map[string]time.Time // start of the retry guard by call
+	attempts             map[string]int       // by called number
+	simultaneousAttempts int                  // attempts started while another one was open
+	earlyRetries         int                  // attempts started within the retry guard
+	abandonedAttempts    int                  // attempts started after the caller had left
+	canceled             int                  // set-ups canceled by the server
 	released             int                  // calls released by the server
-	corrupted            int                  // descriptions that were changed on the way
+	corrupted            int                  // descriptions that were modified in transit
 }
 
-// schedulingDelay returns by how much an event that was due may be late on this machine: three times the delay that a
-// goroutine which only sleeps has seen within the last seconds.
+// schedulingDelay returns the tolerance for late events on this machine: three times the maximum delay that a sleeping
+// goroutine has measured within the last seconds.
 func schedulingDelay() time.Duration {
 	delayMeter.once.Do(func() {
 		go func() {
@@ -35,7 +35,7 @@
 				time.Sleep(5 * time.Millisecond)
 				over := int64(time.Since(began) - 5*time.Millisecond)
 				delayMeter.now.Store(max(delayMeter.now.Load(), over))
-				if n%200 == 0 { // at least a second
+				if n%200 == 0 { // after at least one second
 					delayMeter.before.Store(delayMeter.now.Swap(0))
 				}
 			}
@@ -49,16 +49,16 @@
 	now, before atomic.Int64
 }
 
-// retryObserver counts, by the server's own clock, attempts that start within the retry guard of one that may have
-// run, and attempts for callers who have left.
+// retryObserver counts, by the clock of the server, attempts that start within the retry guard and attempts that start
+// after the caller has left.
 type retryObserver struct {
 	call.Observer
 	observations *callObservations
-	guardedSince map[string]call.Time // used on the loop alone, as abandoned
+	guardedSince map[string]call.Time // accessed only on the event loop, like abandoned
 	abandoned    map[string]bool
 }
 
-// observeRetries installs a retryObserver, before the server runs.
+// observeRetries installs a retryObserver. It must be called before the server runs.
 func (s *testServer) observeRetries() {
 	g := &retryObserver{nopObserver{}, s.observations, make(map[string]call.Time), make(map[string]bool)}
 	schedulingDelay()
@@ -113,15 +113,15 @@
 	return &callObservations{openAttempts: make(map[string]bool), guardedSince: make(map[string]time.Time), attempts: make(map[string]int)}
 }
 
-// beginAttempt records an attempt and returns the number of attempts under a key so far.
+// beginAttempt records an attempt and returns the number of attempts under a key, including this one.
 func (r *callObservations) beginAttempt(id, number, key string, desc []byte) (nth int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.openAttempts[id] {
 		r.simultaneousAttempts++
 	}
-	// Each exchange reads in a goroutine of its own, when that is scheduled: times of two of them are compared only as
-	// exactly as the machine allows. The retryObserver checks the guard to the millisecond, at the server.
+	// Each exchange reads on its own goroutine, so times of different exchanges can be compared only with a tolerance for
+	// scheduling delays. The retryObserver checks the guard at the server, to the millisecond.
 	if at, ok := r.guardedSince[id]; ok && time.Since(at) < retryGuard-schedulingDelay() {
 		r.earlyRetries++
 	}
--- a/internal/server/protocols_test.go
+++ b/internal/server/protocols_test.go
@@ -10,7 +10,7 @@
 	"olivedale/internal/codec/h248"
 )
 
-// callResults are the outcomes of one run of calls.
+// callResults are the results of a fixed series of calls.
 type callResults struct {
 	Answers                                       map[string]string
 	Attempts                                      map[string]int
@@ -18,41 +18,41 @@
 	Canceled, Released                            int
 }
 
-// runCalls makes the same calls in either protocol, one after the other.
+// runCalls makes a fixed series of calls, one after the other, from callers that dial creates.
 func runCalls(t *testing.T, server *testServer, dial func(name string) testCaller, answers *answerLog) callResults {
 	t.Helper()
 	p := callResults{Answers: make(map[string]string), Attempts: make(map[string]int)}
 	k, other := dial("aaaaaaaa"), dial("bbbbbbbb")
 	gone := k.setUp("silent.2", 5*time.Second)
-	eventually(t, "the set-up is at a server", func() bool { return server.observations.attemptsTo("silent.2") == 1 })
+	eventually(t, "the set-up is at an exchange", func() bool { return server.observations.attemptsTo("silent.2") == 1 })
 	k.hangUp(gone)
-	eventually(t, "the set-up is given up", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
+	eventually(t, "the set-up is canceled", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
 	other.setUp("silent.3", 5*time.Second)
-	eventually(t, "the set-up is at a server", func() bool { return server.observations.attemptsTo("silent.3") == 1 })
+	eventually(t, "the set-up is at an exchange", func() bool { return server.observations.attemptsTo("silent.3") == 1 })
 	other.close()
-	eventually(t, "the set-up is given up with its connection", func() bool { return server.observations.total(&server.observations.canceled) == 2 })
+	eventually(t, "the set-up is canceled with its connection", func() bool { return server.observations.total(&server.observations.canceled) == 2 })
 	for _, kind := range []string{"ok", "keep", "moot", "reset", "busy"} {
 		number := kind + ".1"
 		if kind == "reset" {
-			// At this rate the admission control lets a call a second go to an exchange of second choice.
+			// At this call rate the admission control admits one call per second to a second-choice exchange.
 			time.Sleep(1500 * time.Millisecond)
 		}
 		key := k.setUp(number, 4*time.Second)
-		said := answers.await(t, key, 1)
+		got := answers.await(t, key, 1)
 		if kind == "ok" {
-			said = answers.await(t, key, 2)
+			got = answers.await(t, key, 2)
 		}
-		p.Answers[kind] = strings.ReplaceAll(said, acceptedDescription(number), "")
-		if strings.Contains(said, "stands") {
+		p.Answers[kind] = strings.ReplaceAll(got, acceptedDescription(number), "")
+		if strings.Contains(got, "stands") {
 			k.hangUp(key)
 		}
 		p.Attempts[kind] = server.observations.attemptsTo(number)
-		time.Sleep(30 * time.Millisecond) // let the release pass before the next call
+		time.Sleep(30 * time.Millisecond) // the release must arrive before the next call
 	}
 	silent := k.setUp("silent.1", 400*time.Millisecond)
 	p.Answers["silent"] = answers.await(t, silent, 1)
 	p.Attempts["silent"] = server.observations.attemptsTo("silent.1")
-	eventually(t, "the set-up that timed out is given up", func() bool { return server.observations.total(&server.observations.canceled) == 3 })
+	eventually(t, "the set-up that timed out is canceled", func() bool { return server.observations.total(&server.observations.canceled) == 3 })
 	for end := time.Now().Add(2 * time.Second); server.observations.total(&server.observations.released) < 3 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -61,8 +61,8 @@
 	return p
 }
 
-// TestBothProtocolsBehaveAlike makes the same calls with either protocol on either side: the rules must be kept alike
-// and the service be the same.
+// TestBothProtocolsBehaveAlike makes the same calls with each combination of protocols on the two sides. The results
+// must be the same.
 func TestBothProtocolsBehaveAlike(t *testing.T) {
 	t.Parallel()
 	want := callResults{
@@ -90,36 +90,36 @@
 	}
 }
 
-// TestMixedProtocols has both protocols on both sides at once on one server.
+// TestMixedProtocols uses both protocols on both sides of one server at the same time.
 func TestMixedProtocols(t *testing.T) {
 	t.Parallel()
 	server := startTestServer(t, false, true)
 	answers := newAnswerLog()
 	callers := []testCaller{dialJSONCaller(t, server.jsonAddress(), answers, "aaaaaaaa"), dialGatewayCaller(t, server.gatewayAddress(), answers, "<one>"),
 		dialJSONCaller(t, server.jsonAddress(), answers, "bbbbbbbb"), dialGatewayCaller(t, server.gatewayAddress(), answers, "<two>")}
-	stood := make([]int, len(callers))
+	established := make([]int, len(callers))
 	for i := range 15 {
 		for j, k := range callers {
 			key := k.setUp(fmt.Sprintf("ok.%d.%d", i, j), 4*time.Second)
-			if said := answers.await(t, key, 2); said == "stands "+acceptedDescription(fmt.Sprintf("ok.%d.%d", i, j))+" end 16" {
-				stood[j]++
+			if got := answers.await(t, key, 2); got == "stands "+acceptedDescription(fmt.Sprintf("ok.%d.%d", i, j))+" end 16" {
+				established[j]++
 			} else {
-				t.Errorf("caller %d, call %d: %q", j, i, said)
+				t.Errorf("caller %d, call %d: got %q", j, i, got)
 			}
 		}
 	}
-	for j, n := range stood {
-		if n != stood[0] {
-			t.Errorf("caller %d had %d calls, caller 0 %d", j, n, stood[0])
+	for j, n := range established {
+		if n != established[0] {
+			t.Errorf("caller %d has %d established calls, caller 0 has %d", j, n, established[0])
 		}
 	}
 	if n := server.observations.total(&server.observations.simultaneousAttempts) + server.observations.total(&server.observations.earlyRetries) + server.observations.total(&server.observations.corrupted); n != 0 {
-		t.Errorf("%d rules broken", n)
+		t.Errorf("%d simultaneous attempts, early retries or corrupted descriptions, want none", n)
 	}
 }
 
-// A repeated transaction gets the stored reply and starts nothing: on the same connection, while it runs, and after a
-// reset on a new one.
+// A repeated transaction receives the stored reply and does not start another attempt: on the same connection, while the
+// first one is still open, and on a new connection after a reset.
 func TestRepeatedTransaction(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, true), newAnswerLog()
@@ -129,31 +129,31 @@
 	first := answers.await(t, "panel/7", 1)
 	client.send(add)
 	if got := answers.await(t, "panel/7", 2); got != first+" "+first {
-		t.Errorf("the repeat got %q", got)
+		t.Errorf("the repeat received %q", got)
 	}
 	open := addTransaction("panel/8", 8, "silent.1", 5*time.Second)
 	client.send(open)
-	eventually(t, "the set-up is out", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
+	eventually(t, "the set-up is sent", func() bool { return server.observations.attemptsTo("silent.1") == 1 })
 	client.send(open)
 	answers.await(t, "panel/8/pending", 1)
 	_ = client.conn.(*net.TCPConn).SetLinger(0) // reset
 	client.close()
-	eventually(t, "the open set-up is given up", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
+	eventually(t, "the open set-up is canceled", func() bool { return server.observations.total(&server.observations.canceled) == 1 })
 	again := dialGatewayCaller(t, server.gatewayAddress(), answers, "<panel>")
 	again.send(add)
 	if got := answers.await(t, "panel/7", 3); got != first+" "+first+" "+first {
-		t.Errorf("the repeat after a reset got %q", got)
+		t.Errorf("the repeat after a reset received %q", got)
 	}
 	again.send(open)
 	if got := answers.await(t, "panel/8", 1); got != "end 41" {
-		t.Errorf("the repeat of the set-up that was given up got %q", got)
+		t.Errorf("the repeat of the canceled set-up received %q", got)
 	}
 	if a, b := server.observations.attemptsTo("keep.1"), server.observations.attemptsTo("silent.1"); a != 1 || b != 1 {
 		t.Errorf("repeats started %d and %d attempts, want one each", a, b)
 	}
 }
 
-// A command that is split at any byte never runs in part, and runs once when the rest comes.
+// A command that is split at any byte is never executed in part, and is executed once when it is complete.
 func TestInputSplitAtEveryByte(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, true), newAnswerLog()
@@ -173,13 +173,13 @@
 	client := dialGatewayCaller(t, server.gatewayAddress(), answers, "<cut>")
 	for _, b := range frame {
 		if n := server.observations.attemptsTo("keep.1"); n != 0 {
-			t.Fatalf("half a command ran %d times", n)
+			t.Fatalf("an incomplete command was executed %d times", n)
 		}
 		_, _ = client.conn.Write([]byte{b})
 	}
 	answers.await(t, "cut/1", 1)
 	if n := server.observations.attemptsTo("keep.1"); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
@@ -216,11 +216,11 @@
 	unknown.Actions[0].Commands[0].Descriptors[0].Children[0].Children[0].Value = "nobody"
 	client.send(unknown)
 	if got := answers.await(t, "p/90", 1); got != "end 34" {
-		t.Errorf("an unknown class: %q", got)
+		t.Errorf("a set-up of an unknown class: got %q", got)
 	}
 	_, _ = client.conn.Write([]byte{3, 0, 0, 9, 'x', '{', '}', '=', '='})
 	if got := answers.await(t, "error", 1); !strings.Contains(got, "400") {
-		t.Errorf("garbage: %q", got)
+		t.Errorf("malformed input: got %q", got)
 	}
 }
 
@@ -231,14 +231,14 @@
 	graceful := &h248.Node{Name: "Services", Children: []*h248.Node{{Name: "Method", Value: "Graceful"}, {Name: "Reason", Quoted: true, Value: "905"}}}
 	drain := &h248.Transaction{ID: 2, Actions: []*h248.Action{{Context: "-", Commands: []*h248.Command{{Name: "ServiceChange", Termination: "ROOT", Descriptors: []*h248.Node{graceful}}}}}}
 	p := dialGatewayCaller(t, server.gatewayAddress(), answers, "<panel>")
-	p.send(drain) // a gateway that goes out of service does not stop the server
+	p.send(drain) // on the gateway address this does not shut the server down
 	answers.await(t, "panel/2", 1)
 	client.send(&h248.Transaction{ID: 1, Actions: []*h248.Action{{Context: "-", Commands: []*h248.Command{{Name: "AuditValue", Termination: "ROOT"}}}}})
 	if got := answers.await(t, "ctl/1", 1); got != "done AuditValue" {
-		t.Errorf("audit: %q", got)
+		t.Errorf("audit: got %q", got)
 	}
 	if key := p.setUp("keep.1", time.Second); answers.await(t, key, 1) == "" {
-		t.Error("no service before the drain")
+		t.Error("a set-up before the drain was not answered")
 	}
 	client.send(drain)
 	answers.await(t, "ctl/2", 1)
@@ -249,6 +249,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the server did not drain")
+		t.Error("the server did not shut down")
 	}
 }
--- a/internal/server/random_crossings_test.go
+++ b/internal/server/random_crossings_test.go
@@ -11,32 +11,32 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// Random crossings: what callers, exchanges and the list do is drawn from a seed, several events in one iteration of the
-// loop, and the rules are checked at the end as exchanges and callers saw them. Times come from the machine: a seed
-// repeats the events, not the moment at which each side reads of them.
+// The test in this file checks random races. The events at callers, exchanges and the discovery service are drawn from a
+// seed, several per iteration of the event loop, and the invariants are checked at the end from what exchanges and
+// callers observed. Timing depends on the machine: a seed reproduces the events, but not when each side reads of them.
 
-// An exchangeEvent is one event at the exchanges, in the order in which it happened there.
+// An exchangeEvent is an event observed at an exchange, or the departure of a caller.
 type exchangeEvent struct {
 	at       time.Time
 	exchange int
-	what     string // INVITE, CANCEL, BYE, CLOSED; "answered N", "released" by the exchange; "left" by the caller
+	what     string // received: INVITE, CANCEL, BYE, CLOSED; sent: "answered N", "released"; by the caller: "left"
 	id       string
 	cseq     int
-	conn     int // the connection to the exchange
+	conn     int // index of the connection to the exchange
 }
 
-// A randomRun is one run of random crossings.
+// A randomRun is one run of random events.
 type randomRun struct {
 	*testbed
 	rng              *rand.Rand
 	events           []exchangeEvent
-	collected        []int // the number of messages of each exchange that are recorded
+	collected        []int // number of recorded messages by exchange
 	callers          []*jsonCaller
-	callerOf         map[string]int // by id: the caller
-	openCalls        []string       // asked for and not abandoned; they may have been answered
-	drainingExchange int            // the exchange that drains, -1: none
+	callerOf         map[string]int // index of the caller by call id
+	openCalls        []string       // calls that were set up and not left by the caller; they may have been answered
+	drainingExchange int            // index of the draining exchange, -1 if none
 	lastCall         int
-	maxDelay         time.Duration // the longest scheduling delay
+	maxDelay         time.Duration // maximum scheduling delay
 }
 
 func (c *randomRun) record(s exchangeEvent) {
@@ -46,22 +46,22 @@
 	c.events = append(c.events, s)
 }
 
-// collectReceived records what has come to the exchanges since the last time.
+// collectReceived records the messages that the exchanges have received since the last call.
 func (c *randomRun) collectReceived() {
 	for i, f := range c.exchanges {
 		f.mu.Lock()
-		came, via, when := f.received[c.collected[i]:], f.receivedOn[c.collected[i]:], f.receivedAt[c.collected[i]:]
+		messages, conns, times := f.received[c.collected[i]:], f.receivedOn[c.collected[i]:], f.receivedAt[c.collected[i]:]
 		c.collected[i] = len(f.received)
 		f.mu.Unlock()
-		for j, s := range came {
-			e := exchangeEvent{exchange: i, conn: via[j], at: when[j]}
+		for j, s := range messages {
+			e := exchangeEvent{exchange: i, conn: conns[j], at: times[j]}
 			_, _ = fmt.Sscan(s, &e.what, &e.id, &e.cseq)
 			c.record(e)
 		}
 	}
 }
 
-// unansweredAttempts returns the attempts that an exchange has not answered.
+// unansweredAttempts returns the open attempts that an exchange has not answered.
 func (c *randomRun) unansweredAttempts() (all []exchangeEvent) {
 	c.collectReceived()
 	for _, e := range c.events {
@@ -70,25 +70,25 @@
 			all = append(all, e)
 		case e.what == "CANCEL" || strings.HasPrefix(e.what, "answered"):
 			all = removeEvents(all, func(o exchangeEvent) bool { return o.id == e.id && o.exchange == e.exchange })
-		case e.what == "CLOSED": // what is open on a connection ends with it
+		case e.what == "CLOSED": // open attempts end with their connection
 			all = removeEvents(all, func(o exchangeEvent) bool { return o.exchange == e.exchange && o.conn == e.conn })
 		}
 	}
 	return all
 }
 
-func removeEvents(all []exchangeEvent, is func(exchangeEvent) bool) (left []exchangeEvent) {
+func removeEvents(all []exchangeEvent, matches func(exchangeEvent) bool) (rest []exchangeEvent) {
 	for _, s := range all {
-		if !is(s) {
-			left = append(left, s)
+		if !matches(s) {
+			rest = append(rest, s)
 		}
 	}
-	return left
+	return rest
 }
 
-// establishedCalls returns the calls that an exchange answered and of which it has neither got nor sent a release.
-// Those whose connection ended just after are left out: the answer may be lost on the way, and then nobody else knows
-// of the call.
+// establishedCalls returns the calls that an exchange has established and for which no release was sent or received. It
+// leaves out calls whose connection closed shortly after the answer: the answer may have been lost, and then only the
+// exchange knows of the call.
 func (c *randomRun) establishedCalls() (all []exchangeEvent) {
 	c.collectReceived()
 	for _, e := range c.events {
@@ -113,7 +113,7 @@
 	return all[rng.IntN(len(all))], true
 }
 
-// stepCaller does the callers' part of a step, within an iteration.
+// stepCaller performs a random action of a caller. It runs within an iteration.
 func (c *randomRun) stepCaller() {
 	switch i := c.rng.IntN(len(c.callers)); c.rng.IntN(5) {
 	case 0, 1, 2:
@@ -128,7 +128,7 @@
 			if k := c.testbed.findClient(id); k != nil && c.rng.IntN(2) == 0 {
 				k.HandleData(jsonMessage(jsonl.Finish, id))
 			} else {
-				_, _ = c.callers[c.rng.IntN(len(c.callers))].conn.Write(jsonMessage(jsonl.Finish, id)) // on whatever connection
+				_, _ = c.callers[c.rng.IntN(len(c.callers))].conn.Write(jsonMessage(jsonl.Finish, id)) // on any connection
 			}
 		}
 	default:
@@ -143,7 +143,7 @@
 			c.callers[i].close()
 		}
 		c.callers[i] = dialJSONCaller(c.t, c.jsonAddress(), c.answers, "cccccccc")
-		c.callers[i].send(&jsonl.Message{Verb: jsonl.Finished, Tag: "0"}) // a silent connection is closed after a while
+		c.callers[i].send(&jsonl.Message{Verb: jsonl.Finished, Tag: "0"}) // silent connections are closed after a timeout
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 }
 
-// stepExchange does the exchanges' part of a step.
+// stepExchange performs a random action of an exchange or of the discovery service.
 func (c *randomRun) stepExchange() {
 	switch c.rng.IntN(8) {
 	case 0, 1, 2, 3:
@@ -166,7 +166,7 @@
 			c.record(exchangeEvent{exchange: a.exchange, what: fmt.Sprint("answered ", status), id: a.id, cseq: a.cseq, conn: a.conn})
 			b := sipResponse(a.id, "INVITE", status, a.cseq, "x")
 			if c.rng.IntN(4) == 0 {
-				b = append(b, b...) // twice
+				b = append(b, b...) // sent twice
 			}
 			c.exchanges[a.exchange].mu.Lock()
 			conn := c.exchanges[a.exchange].conns[a.conn]
@@ -200,13 +200,13 @@
 
 func runRandomCrossings(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	module := &scriptedDecider{retryDelay: retryGuard}
+	decider := &scriptedDecider{retryDelay: retryGuard}
 	for range 20_000 {
-		module.servers = append(module.servers, fmt.Sprint("s-", rng.IntN(3)))
+		decider.servers = append(decider.servers, fmt.Sprint("s-", rng.IntN(3)))
 	}
-	far := []*fakeExchange{startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")}
-	bed := startTestbed(t, far, module)
-	c := &randomRun{testbed: bed, rng: rng, collected: make([]int, len(far)), callerOf: make(map[string]int), drainingExchange: -1}
+	exchanges := []*fakeExchange{startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")}
+	bed := startTestbed(t, exchanges, decider)
+	c := &randomRun{testbed: bed, rng: rng, collected: make([]int, len(exchanges)), callerOf: make(map[string]int), drainingExchange: -1}
 	for range 4 {
 		c.callers = append(c.callers, bed.dialCaller("cccccccc"))
 	}
@@ -221,41 +221,41 @@
 			}
 		})
 		for range rng.IntN(3) {
-			bed.runIteration(func() {}) // what has come is read
+			bed.runIteration(func() {}) // lets the server read pending input
 		}
 		c.maxDelay = max(c.maxDelay, schedulingDelay())
 		if rng.IntN(8) == 0 {
-			time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond) // retry guards and timeouts pass
+			time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond) // lets retry guards and timeouts expire
 		}
 	}
-	// All calls end: established calls are released by whoever can.
-	quit, left := bed.dialCaller("dddddddd"), ""
+	// End all calls. Established calls are released by their callers and exchanges.
+	quit, remaining := bed.dialCaller("dddddddd"), ""
 	defer func() {
-		if left != "" {
-			t.Log(left)
+		if remaining != "" {
+			t.Log(remaining)
 		}
 	}()
-	eventually(t, "every call is over", func() bool {
+	eventually(t, "all calls have ended", func() bool {
 		for _, id := range slices.Clone(c.openCalls) {
 			if got := bed.answers.of(id); strings.HasPrefix(got, "stands") && !strings.Contains(got, "end") {
 				quit.hangUp(id)
 				c.recordLeft(id)
 			}
 		}
-		for _, e := range c.events { // and again by their exchanges, since a release may be lost with its connection
+		for _, e := range c.events { // also released by the exchanges, because a release may be lost with its connection
 			if e.what == "answered 200" && rng.IntN(10) == 0 {
 				c.record(exchangeEvent{exchange: e.exchange, what: "released", id: e.id})
 				c.exchanges[e.exchange].send(sipRelease(e.id, 16))
 			}
 		}
-		open, standing := 0, 0
-		bed.runIteration(func() { open, standing = bed.server.calls.OpenCalls(), bed.server.calls.EstablishedCalls() })
-		left = fmt.Sprintf("%d open, %d standing, %v stand at exchanges", open, standing, c.establishedCalls())
-		return open == 0 && standing == 0 && len(c.establishedCalls()) == 0
+		open, established := 0, 0
+		bed.runIteration(func() { open, established = bed.server.calls.OpenCalls(), bed.server.calls.EstablishedCalls() })
+		remaining = fmt.Sprintf("%d open, %d established, established at exchanges: %v", open, established, c.establishedCalls())
+		return open == 0 && established == 0 && len(c.establishedCalls()) == 0
 	})
-	left = ""
+	remaining = ""
 	bed.awaitNoPendingWork()
-	for _, k := range append(c.callers, quit) { // what is on its way to a caller comes before the echo
+	for _, k := range append(c.callers, quit) { // the echo arrives after all earlier messages to the caller
 		n := len(strings.Fields(bed.answers.of("echo")))
 		k.send(&jsonl.Message{Verb: jsonl.Echo, Tag: "t"})
 		bed.answers.await(t, "echo", n+1)
@@ -263,74 +263,74 @@
 	c.check()
 }
 
-// check verifies the rules against all that was observed.
+// check verifies the invariants against the recorded events.
 func (c *randomRun) check() {
 	c.collectReceived()
 	slices.SortStableFunc(c.events, func(a, b exchangeEvent) int { return a.at.Compare(b.at) })
-	type life struct {
-		far  int // where an attempt is open, -1: none
-		via  int
-		cseq int
-		left time.Time
-		ends time.Time // when the latest attempt that may have run ended
+	type callState struct {
+		exchange  int // exchange with the open attempt, -1 if none
+		conn      int
+		cseq      int
+		leftAt    time.Time
+		guardedAt time.Time // end of the latest attempt that may have run
 	}
-	lives := make(map[string]*life)
+	states := make(map[string]*callState)
 	attempts, resent := 0, 0
 	for _, e := range c.events {
 		if e.what == "CLOSED" {
-			for _, l := range lives {
-				if l.far == e.exchange && l.via == e.conn {
-					l.far, l.ends = -1, e.at
+			for _, s := range states {
+				if s.exchange == e.exchange && s.conn == e.conn {
+					s.exchange, s.guardedAt = -1, e.at
 				}
 			}
 			continue
 		}
-		l := lives[e.id]
-		if l == nil {
-			l = &life{far: -1}
-			lives[e.id] = l
+		s := states[e.id]
+		if s == nil {
+			s = &callState{exchange: -1}
+			states[e.id] = s
 		}
 		switch {
 		case e.what == "left":
-			l.left = e.at
+			s.leftAt = e.at
 		case e.what == "INVITE":
 			attempts++
-			if l.cseq > 0 {
+			if s.cseq > 0 {
 				resent++
 			}
-			if l.far >= 0 && c.maxDelay < retryGuard { // else a CANCEL may be read after the next attempt
-				c.t.Errorf("%s: attempt %d at s-%d while %d is out at s-%d", e.id, e.cseq, e.exchange, l.cseq, l.far)
+			if s.exchange >= 0 && c.maxDelay < retryGuard { // with a longer delay a CANCEL may be read after the next attempt
+				c.t.Errorf("%s: attempt %d at s-%d while %d is open at s-%d", e.id, e.cseq, e.exchange, s.cseq, s.exchange)
 			}
-			if !l.left.IsZero() && e.at.Sub(l.left) > 300*time.Millisecond+c.maxDelay {
-				c.t.Errorf("%s: sent on %v after its caller had left", e.id, e.at.Sub(l.left))
+			if !s.leftAt.IsZero() && e.at.Sub(s.leftAt) > 300*time.Millisecond+c.maxDelay {
+				c.t.Errorf("%s: sent %v after its caller had left", e.id, e.at.Sub(s.leftAt))
 			}
-			if !l.ends.IsZero() && e.at.Sub(l.ends) < retryGuard-c.maxDelay {
-				c.t.Errorf("%s: sent again %v after an attempt that may have run", e.id, e.at.Sub(l.ends))
+			if !s.guardedAt.IsZero() && e.at.Sub(s.guardedAt) < retryGuard-c.maxDelay {
+				c.t.Errorf("%s: retried %v after an attempt that may have run", e.id, e.at.Sub(s.guardedAt))
 			}
-			l.far, l.via, l.cseq, l.ends = e.exchange, e.conn, e.cseq, time.Time{}
+			s.exchange, s.conn, s.cseq, s.guardedAt = e.exchange, e.conn, e.cseq, time.Time{}
 		case e.what == "CANCEL" || e.what == "answered 504":
-			if l.far == e.exchange {
-				l.far, l.ends = -1, e.at
+			if s.exchange == e.exchange {
+				s.exchange, s.guardedAt = -1, e.at
 			}
 		case strings.HasPrefix(e.what, "answered"):
-			if l.far == e.exchange {
-				l.far = -1
+			if s.exchange == e.exchange {
+				s.exchange = -1
 			}
 		}
 	}
 	for id := range c.callerOf {
-		got, l := c.answers.of(id), lives[id]
-		left := l != nil && !l.left.IsZero()
-		stands, ends := strings.Count(got, "stands"), strings.Count(got, "end ")
-		// The release of an established call may be sent again, on another connection, where the first has closed.
-		if stands > 1 || !left && (stands == 0 && ends != 1 || stands == 1 && (ends == 0 || strings.HasPrefix(got, "end"))) {
-			c.t.Errorf("%s: its caller got %q", id, got)
+		got, s := c.answers.of(id), states[id]
+		left := s != nil && !s.leftAt.IsZero()
+		established, ends := strings.Count(got, "stands"), strings.Count(got, "end ")
+		// The release of an established call may be repeated on another connection if the first one has closed.
+		if established > 1 || !left && (established == 0 && ends != 1 || established == 1 && (ends == 0 || strings.HasPrefix(got, "end"))) {
+			c.t.Errorf("%s: its caller received %q", id, got)
 		}
 	}
-	if early, after := c.observations.total(&c.observations.earlyRetries), c.observations.total(&c.observations.abandonedAttempts); early+after != 0 { // to the millisecond, at the server
-		c.t.Errorf("%d attempts sent again too early, %d for callers who had left", early, after)
+	if early, after := c.observations.total(&c.observations.earlyRetries), c.observations.total(&c.observations.abandonedAttempts); early+after != 0 { // measured at the server, to the millisecond
+		c.t.Errorf("%d attempts within the retry guard, %d attempts for callers that had left", early, after)
 	}
 	if attempts < 30 || resent == 0 {
-		c.t.Errorf("%d attempts, %d of them later ones: that tells little", attempts, resent)
+		c.t.Errorf("%d attempts, %d of them retries: too few for a meaningful test", attempts, resent)
 	}
 }
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -20,7 +20,7 @@
 	"olivedale/internal/record"
 )
 
-// copyStore copies a store as it is now: what a kill at this moment would leave.
+// copyStore copies the files of a store in their current state, which is what a kill at this moment would leave.
 func copyStore(t testing.TB, from, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o700); err != nil {
@@ -41,10 +41,11 @@
 	}
 }
 
-// countRecords counts a store's records one by one, without the analysis.
-func countRecords(t testing.TB, dir string) (counts map[string]uint64, lives map[string]string) {
+// countRecords counts the records of a store by kind, independently of the analysis, and returns the sequence of records
+// of each call.
+func countRecords(t testing.TB, dir string) (counts map[string]uint64, sequences map[string]string) {
 	t.Helper()
-	counts, lives = make(map[string]uint64), make(map[string]string)
+	counts, sequences = make(map[string]uint64), make(map[string]string)
 	r, err := record.OpenDir(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -70,16 +71,16 @@
 		}
 		counts[what]++
 		if rec.Call != "" {
-			lives[rec.Call] += what + ","
+			sequences[rec.Call] += what + ","
 		}
 		if rec.Kind == record.KindGap {
 			counts["lost"] += rec.Lost()
 		}
 	}
-	return counts, lives
+	return counts, sequences
 }
 
-// analyzeStores returns the report on stores.
+// analyzeStores returns the incident report on the given stores.
 func analyzeStores(t testing.TB, dirs ...string) *incident.Report {
 	t.Helper()
 	var parts []*incident.Part
@@ -101,7 +102,7 @@
 	return incident.Combine(parts)
 }
 
-// The records of calls agree with what the manager of calls counted and the exchanges saw, call by call.
+// The records of calls agree with the counters of the call manager and with what the exchanges received.
 func TestRecordsTellEveryCall(t *testing.T) {
 	t.Parallel()
 	nodes, answers := startFleet(t, 2), newAnswerLog()
@@ -114,11 +115,11 @@
 	kept := client.setUp("keep.1", 4*time.Second)
 	answers.await(t, kept, 1)
 	client.hangUp(kept)
-	eventually(t, "the release went out", func() bool { return nodes.observations.total(&nodes.observations.released) == 1 })
+	eventually(t, "the release is sent", func() bool { return nodes.observations.total(&nodes.observations.released) == 1 })
 	left := client.setUp("silent.2", 4*time.Second)
-	eventually(t, "it is out", func() bool { return nodes.observations.attemptsTo("silent.2") == 1 })
+	eventually(t, "the set-up is sent", func() bool { return nodes.observations.attemptsTo("silent.2") == 1 })
 	client.hangUp(left)
-	eventually(t, "it is given up", func() bool { return nodes.observations.total(&nodes.observations.canceled) == 1 })
+	eventually(t, "the set-up is canceled", func() bool { return nodes.observations.total(&nodes.observations.canceled) == 1 })
 	for _, number := range []string{"busy.1", "full.1", "moot.1", "reset.1"} {
 		answers.await(t, client.setUp(number, 4*time.Second), 1)
 	}
@@ -129,52 +130,52 @@
 		t.Fatal(err)
 	}
 	if got := h248.Value(audit.Descriptors, "Statistics", "oc/class", "oc/requests"); got != "17" {
-		t.Errorf("the class had %s requests, want 17", got)
+		t.Errorf("the audit reports %s requests of the class, want 17", got)
 	}
 	tries := 0
 	for _, n := range h248.Find(audit.Descriptors, "Statistics").Children {
 		if n.Name == "oc/server" {
 			v, err := strconv.Atoi(h248.Value(n.Children, "oc/attempts"))
 			if tries += v; err != nil || h248.Value(n.Children, "oc/phase") != "listed" {
-				t.Errorf("%+v", n)
+				t.Errorf("audit of an exchange: %+v", n)
 			}
 		}
 	}
 	if got := h248.Value(audit.Descriptors, "Statistics", "oc/attempts"); got != strconv.Itoa(tries) {
-		t.Errorf("%d attempts by server, %s in all", tries, got)
+		t.Errorf("the audit reports %d attempts over all exchanges and a total of %s", tries, got)
 	}
 	if audit, err = adminapi.Send(context.Background(), s.gatewayAddress(), adminapi.AuditCommand("ROOT")); err != nil || h248.Find(audit.Descriptors, "Statistics", "oc/server") != nil {
-		t.Errorf("a gateway is shown exchanges, %v", err)
+		t.Errorf("the gateway address reports exchanges, or failed: %v", err)
 	}
 	s.stop(t)
 
 	c := &s.server.calls.Counters
-	counts, lives := countRecords(t, dir)
+	counts, sequences := countRecords(t, dir)
 	for what, want := range map[string]int{"setup": c.Requests, "answer stood": c.Established, "answer refused": c.Rejected, "answer failed": c.Failed,
 		"answer given_up": c.Abandoned, "try": c.Attempts, "release": c.ReleasedByCaller + c.ReleasedByBackend, "start": 1, "stopping": 1, "end": 1, "lost": 0, "gap": 0} {
 		if counts[what] != uint64(want) {
-			t.Errorf("%d records of %s, the core counted %d", counts[what], what, want)
+			t.Errorf("%d records of %s, the call manager counted %d", counts[what], what, want)
 		}
 	}
 	for end, n := range c.Ends {
 		if what := "end " + call.AttemptEnd(end).String(); counts[what] != uint64(n) {
-			t.Errorf("%d records of %s, the core counted %d", counts[what], what, n)
+			t.Errorf("%d records of %s, the call manager counted %d", counts[what], what, n)
 		}
 	}
 	for i, server := range nodes.exchanges {
 		server.mu.Lock()
 		if got := counts[fmt.Sprint("try s-", i)]; got != uint64(server.invited) {
-			t.Errorf("%d attempts recorded at server %d, it saw %d", got, i, server.invited)
+			t.Errorf("%d recorded attempts at exchange %d, it received %d", got, i, server.invited)
 		}
 		server.mu.Unlock()
 	}
-	for id, life := range lives {
-		if strings.Count(life, "answer") != 1 || !strings.HasPrefix(life, "setup,order,") {
-			t.Errorf("the life of %s: %s", id, life)
+	for id, sequence := range sequences {
+		if strings.Count(sequence, "answer") != 1 || !strings.HasPrefix(sequence, "setup,order,") {
+			t.Errorf("records of call %s: %s", id, sequence)
 		}
 	}
-	if got := lives[kept]; got != "setup,order,try,answer stood,release,try_end," {
-		t.Errorf("the life of a call that was kept: %s", got)
+	if got := sequences[kept]; got != "setup,order,try,answer stood,release,try_end," {
+		t.Errorf("records of a call that its caller released: %s", got)
 	}
 	r := analyzeStores(t, dir)
 	if r.Total.Offered != uint64(c.Requests) || r.Total.Established() != uint64(c.Established) || r.Incomplete || r.Instances[0].Tallies["stood"] != uint64(c.Established) {
@@ -182,8 +183,8 @@
 	}
 }
 
-// BenchmarkSetUp times set-ups one by one with records off and on; about five a second are admitted, so run it with
-// -benchtime 200x.
+// BenchmarkSetUp measures set-ups one at a time, with and without records. About five per second are admitted, so run it
+// with -benchtime 200x.
 func BenchmarkSetUp(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("records=", on), func(b *testing.B) {
@@ -198,10 +199,10 @@
 			refused := 0
 			for b.Loop() {
 				for {
-					time.Sleep(20 * time.Millisecond) // the admission control admits no more at once than it has seen answered
+					time.Sleep(20 * time.Millisecond) // the admission control limits open attempts to the number it has seen answered
 					began := time.Now()
 					key := client.setUp("keep.1", 4*time.Second)
-					if said := answers.await(b, key, 1); strings.HasPrefix(said, "stands") {
+					if got := answers.await(b, key, 1); strings.HasPrefix(got, "stands") {
 						_ = took.RecordValue(int64(time.Since(began)))
 						client.hangUp(key)
 						break
