--- a/internal/server/releases_test.go
+++ b/internal/server/releases_test.go
@@ -11,7 +11,8 @@
 	"olivedale/internal/codec/sip"
 )
 
-// After a restart nothing is known of established calls: a BYE is passed on, once.
+// After a restart the server does not know the established calls. A BYE for an unknown call is forwarded to a caller
+// exactly once.
 func TestReleaseOfAnUnknownCall(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -36,8 +37,8 @@
 	}
 }
 
-// Releases go to the connection that asked for the call, or to one that has had calls, not to those that test the
-// program, or stay silent.
+// Releases are sent to the connection that set up the call or to another one that has had calls, not to connections that
+// have only sent an echo request or nothing.
 func TestReleaseGoesToItsCaller(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -47,12 +48,12 @@
 		keys = append(keys, c.setUp(fmt.Sprintf("keep.%d", i), 4*time.Second))
 		answers.await(t, keys[i], 1)
 	}
-	tester := newAnswerLog()
-	dialJSONCaller(t, server.jsonAddress(), tester, "cccccccc").send(&jsonl.Message{Verb: jsonl.Echo, HasResultCode: true})
-	tester.await(t, "echo", 1)
-	dialJSONCaller(t, server.jsonAddress(), tester, "dddddddd")
+	otherAnswers := newAnswerLog()
+	dialJSONCaller(t, server.jsonAddress(), otherAnswers, "cccccccc").send(&jsonl.Message{Verb: jsonl.Echo, HasResultCode: true})
+	otherAnswers.await(t, "echo", 1)
+	dialJSONCaller(t, server.jsonAddress(), otherAnswers, "dddddddd")
 	other.close()
-	eventually(t, "two that never asked are left", func() bool {
+	eventually(t, "one caller and two connections without calls remain", func() bool {
 		n := make(chan int, 1)
 		server.server.loop.Execute(func() { n <- server.server.frontends.json.Clients().Len() })
 		return <-n == 3
@@ -62,13 +63,13 @@
 		if got := answers.await(t, key, 2); got != "stands "+acceptedDescription(fmt.Sprintf("keep.%d", i))+" end 41" {
 			t.Errorf("got %q", got)
 		}
-		if got := tester.of(key); got != "" {
-			t.Errorf("a connection that never asked got %q", got)
+		if got := otherAnswers.of(key); got != "" {
+			t.Errorf("a connection without calls received %q", got)
 		}
 	}
 }
 
-// A release that no connection can take waits for the next one.
+// A release is queued if no caller is connected, and sent on the next connection.
 func TestReleaseWaitsForConnection(t *testing.T) {
 	t.Parallel()
 	server, answers := startTestServer(t, false), newAnswerLog()
@@ -82,7 +83,7 @@
 		return <-n == 0
 	})
 	server.exchanges[0].stop()
-	eventually(t, "the call is cut", func() bool {
+	eventually(t, "the release is queued", func() bool {
 		n := make(chan int, 1)
 		server.server.loop.Execute(func() { n <- server.server.frontends.json.QueuedReleases() })
 		return <-n == 1
@@ -93,8 +94,8 @@
 	}
 }
 
-// A caller releases an established call and its connection breaks, as something is written to it: the exchange gets
-// the release in either order. A set-up behind it has lost its caller and is not sent on.
+// A caller releases an established call and its connection breaks while something is written to it. The exchange
+// receives the release in either order. A set-up that follows the release has lost its caller and is not sent.
 func TestReleaseAndConnectionFailure(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"the release is read", "a write fails"} {
@@ -107,32 +108,32 @@
 			exchange.awaitReceived("INVITE", id, 1)
 			exchange.send(sipResponse(id, "INVITE", 200, 1, "a"))
 			bed.answers.await(t, id, 1)
-			said := append(jsonMessage(jsonl.Finish, id), jsonSetup(testCallID, 2*time.Second)...)
+			input := append(jsonMessage(jsonl.Finish, id), jsonSetup(testCallID, 2*time.Second)...)
 			if first == "a write fails" {
 				bed.runIteration(func() {
-					_, _ = k.conn.Write(said)
+					_, _ = k.conn.Write(input)
 					resetConn(k.conn)
 					mine := bed.findClient("")
 					bed.server.loop.Write(mine.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
 				})
 			} else {
-				_, _ = k.conn.Write(said[:len(jsonMessage(jsonl.Finish, id))])
+				_, _ = k.conn.Write(input[:len(jsonMessage(jsonl.Finish, id))])
 				exchange.awaitReceived("BYE", id, 1)
 				resetConn(k.conn)
 			}
 			exchange.awaitReceived("BYE", id, 1)
 			bed.awaitNoPendingWork()
 			if n := exchange.countReceived("BYE", id) + exchange.countReceived("INVITE", testCallID); n != 1 {
-				t.Errorf("%d releases and set-ups of a caller that had left", n)
+				t.Errorf("the exchange received %d releases and later set-ups, want one release", n)
 			}
 		})
 	}
 }
 
-// An exchange is disconnected, and callers release as many unknown calls as are remembered for it. The release of a
-// call that is established there is sent when it is connected again, whether it came before those or after.
+// While an exchange is disconnected, callers release more unknown calls than are remembered for it. The release of an
+// established call is still sent when the exchange is connected again, whether it came before or after those.
 func TestReleaseAmongReleasesOfUnknownCalls(t *testing.T) {
-	testBothOrders(t, "the call's own", "the others", func(t *testing.T, own bool) {
+	testBothOrders(t, "the release of the established call", "the others", func(t *testing.T, own bool) {
 		exchange, gate := startFakeExchange(t, "127.0.0.1:0"), newDialGate()
 		bed := startTestbedWith(t, settings, 2, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-0"}}, gate.configure)
 		id := bed.establishAndDisconnect(exchange, gate)
@@ -144,7 +145,7 @@
 				}
 			})
 			if n := bed.server.backends.Get("s-0").PendingReleases(); n != bed.server.cfg.MemoryMB<<5 {
-				t.Errorf("%d releases are remembered", n)
+				t.Errorf("%d releases are pending", n)
 			}
 		})
 		close(gate.opened)
@@ -152,8 +153,9 @@
 	})
 }
 
-// A gateway releases an established call and its connection breaks, as something is written to it: the exchange gets
-// the release in either order. A set-up behind it has lost its caller, and counts as one that never came.
+// A gateway releases an established call and its connection breaks while something is written to it. The exchange
+// receives the release in either order. A set-up that follows the release has lost its caller and is treated as never
+// received.
 func TestGatewayReleaseAndConnectionFailure(t *testing.T) {
 	testBothOrders(t, "the release", "the failed write", func(t *testing.T, release bool) {
 		exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -166,15 +168,15 @@
 		gatewayClient.mu.Lock()
 		context := gatewayClient.contexts[key]
 		gatewayClient.mu.Unlock()
-		off := &h248.Transaction{ID: 7, Actions: []*h248.Action{{Context: context, Commands: []*h248.Command{{Name: "Subtract", Termination: key}}}}}
+		subtract := &h248.Transaction{ID: 7, Actions: []*h248.Action{{Context: context, Commands: []*h248.Command{{Name: "Subtract", Termination: key}}}}}
 		add := addTransaction("p/8", 8, "1", 3*time.Second)
 		if release {
-			gatewayClient.send(off)
+			gatewayClient.send(subtract)
 			exchange.awaitReceived("BYE", id, 1)
 			resetConn(gatewayClient.conn)
 		} else {
 			bed.runIteration(func() {
-				_, _ = gatewayClient.conn.Write(frameTransactions(t, "<p>", off, add))
+				_, _ = gatewayClient.conn.Write(frameTransactions(t, "<p>", subtract, add))
 				resetConn(gatewayClient.conn)
 				bed.server.loop.Write(bed.latestGateway().Conn(), func(b []byte) []byte { return append(b, 'x') })
 			})
@@ -182,56 +184,57 @@
 		}
 		bed.awaitNoPendingWork()
 		again := dialGatewayCaller(t, bed.gatewayAddress(), bed.answers, "<p>")
-		again.send(add) // on a new connection it is one that has not run
+		again.send(add) // on a new connection the transaction starts an attempt
 		if other := exchange.awaitInvite(2); other == id || exchange.countReceived("BYE", id) != 1 {
-			t.Errorf("%d releases, then %s", exchange.countReceived("BYE", id), other)
+			t.Errorf("%d releases, want 1; the next set-up is %s", exchange.countReceived("BYE", id), other)
 		}
 		bed.runIteration(func() { bed.latestGateway().HandleClose(nil) })
 	})
 }
 
-// More is received than any table holds: what exceeds a bound is rejected, and all pending work is still done.
+// More input is received than the bounded tables can hold. Input beyond a bound is rejected, and pending work is still
+// completed.
 func TestBoundsKeepPendingWork(t *testing.T) {
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	bed := startTestbedWith(t, settings, 2, []*fakeExchange{exchange}, &scriptedDecider{})
-	most := 0
+	limit := 0
 	bed.runIteration(func() {
-		most = bed.server.cfg.MemoryMB << 5
-		for i := range 8 * most { // no reliable caller takes these
+		limit = bed.server.cfg.MemoryMB << 5
+		for i := range 8 * limit { // there is no caller with calls that could receive these
 			bed.deliver(0, sipRelease(fmt.Sprintf("d%015x", i), 16))
 			bed.server.backends.Get("s-0").Connection().DiscardPendingOutput()
 		}
-		if n := bed.server.frontends.json.QueuedReleases(); n != 4*most || bed.server.frontends.host.Counters.ReleasesDiscarded != 4*most {
-			t.Errorf("%d unsaid, %d counted as lost", n, bed.server.frontends.host.Counters.ReleasesDiscarded)
+		if n := bed.server.frontends.json.QueuedReleases(); n != 4*limit || bed.server.frontends.host.Counters.ReleasesDiscarded != 4*limit {
+			t.Errorf("%d releases are queued, %d are counted as discarded", n, bed.server.frontends.host.Counters.ReleasesDiscarded)
 		}
 	})
 	bed.decider.setServers("s-0", "s-0", "s-0")
-	stands, open := bed.caller.setUp("1", 3*time.Second), bed.caller.setUp("1", 8*time.Second)
+	established, open := bed.caller.setUp("1", 3*time.Second), bed.caller.setUp("1", 8*time.Second)
 	exchange.awaitReceived("INVITE", open, 1)
-	exchange.send(sipResponse(stands, "INVITE", 200, 1, "a"))
-	bed.answers.await(t, stands, 1)
+	exchange.send(sipResponse(established, "INVITE", 200, 1, "a"))
+	bed.answers.await(t, established, 1)
 	bed.runIteration(func() {
 		k := bed.findClient(open)
-		for i := range 8 * most { // ids of calls that are over, releases of unknown calls, releases that nobody confirms
+		for i := range 8 * limit { // ids of ended calls, releases of unknown calls, releases that nobody confirms
 			id := fmt.Sprintf("%016x", 0x1000+i)
 			k.HandleData(jsonSetup(id, time.Second))
 			k.HandleData(jsonMessage(jsonl.Finish, fmt.Sprintf("f%015x", i)))
 			bed.deliver(0, sipRelease(fmt.Sprintf("e%015x", i), 16))
-			k.Conn().DiscardPendingOutput() // nobody reads them here
+			k.Conn().DiscardPendingOutput() // not read in this test
 			bed.server.backends.Get("s-0").Connection().DiscardPendingOutput()
 		}
-		if l := bed.server.backends.Get("s-0"); l.PendingReleases() > most || bed.server.frontends.json.QueuedReleases() > 4*most || l.RememberedCalls() > 16 {
-			t.Errorf("%d releases, %d unsaid, %d dialogs", l.PendingReleases(), bed.server.frontends.json.QueuedReleases(), l.RememberedCalls())
+		if l := bed.server.backends.Get("s-0"); l.PendingReleases() > limit || bed.server.frontends.json.QueuedReleases() > 4*limit || l.RememberedCalls() > 16 {
+			t.Errorf("%d releases to the exchange, %d to callers and %d dialogs are kept", l.PendingReleases(), bed.server.frontends.json.QueuedReleases(), l.RememberedCalls())
 		}
 	})
-	exchange.send(sipRelease(stands, 16))
-	bed.answers.await(t, stands, 2)
+	exchange.send(sipRelease(established, 16))
+	bed.answers.await(t, established, 2)
 	exchange.send(sipResponse(open, "INVITE", 200, 1, "b"))
 	bed.answers.await(t, open, 1)
 	bed.caller.hangUp(open)
 	exchange.awaitReceived("BYE", open, 1)
-	if got := bed.answers.of(stands) + " " + bed.answers.of(open); strings.Count(got, "stands") != 2 || strings.Count(got, "end") != 1 {
+	if got := bed.answers.of(established) + " " + bed.answers.of(open); strings.Count(got, "stands") != 2 || strings.Count(got, "end") != 1 {
 		t.Error(got)
 	}
 }
--- a/internal/server/replay_test.go
+++ b/internal/server/replay_test.go
@@ -17,7 +17,7 @@
 	"olivedale/internal/record"
 )
 
-// A replayRun is a server with exchanges for a dozen pools, whose table of numbers changes all the time.
+// A replayRun is a server with exchanges for twelve pools whose numbering table changes periodically.
 type replayRun struct {
 	fleet   *fleet
 	decider *unlimitedDecider
@@ -25,9 +25,9 @@
 	answers *answerLog
 	dir     string
 	file    string
-	rules   map[string]*numberingtest.Rules // by digest
+	rules   map[string]*numberingtest.Rules // by table digest
 	texts   [][]byte
-	digests []string // digests of texts
+	digests []string // digests of the tables in texts, in the same order
 	swaps   int
 	stop    chan struct{}
 	done    chan struct{}
@@ -84,10 +84,10 @@
 	return <-got
 }
 
-// swapTables puts another table in force at an interval until stop is closed.
-func (r *replayRun) swapTables(t testing.TB, every time.Duration) {
+// swapTables activates another table at an interval until stop is closed.
+func (r *replayRun) swapTables(t testing.TB, interval time.Duration) {
 	defer close(r.done)
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -100,7 +100,7 @@
 		r.node.server.ReloadNumbering()
 		for end := time.Now().Add(5 * time.Second); r.activeDigest() != r.digests[k]; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Error("a table did not come into force")
+				t.Error("a table was not activated")
 				return
 			}
 		}
@@ -108,28 +108,28 @@
 	}
 }
 
-// check goes through the records of the replay: each call must have gone by the table that was in force when it came,
-// to the pools that a reader of that file finds, in their order, and to its end. Where its number may have been ported
-// and was looked up the answer may have come in time or not: the call goes where the number was ported to, or as it
-// is. It returns how many calls there are, how many attempts were made when another table was in force already, and
-// how many calls can have gone where their number was ported to.
-func (r *replayRun) check(t testing.TB) (calls, across, moved int) {
+// check verifies the records of the replay. Each call must be routed by the table that was active when it arrived, to
+// the pools that an independent evaluation of that table returns, in their order, and must be answered. A call to a
+// ported number may be routed by either number, depending on whether the look-up was answered in time. It returns the
+// number of calls, the number of attempts after another table had become active, and the number of calls that were
+// routed by the ported number.
+func (r *replayRun) check(t testing.TB) (calls, afterSwap, ported int) {
 	t.Helper()
 	in, err := record.OpenDir(r.dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = in.Close() }()
-	type life struct {
+	type callState struct {
 		digest, number, class string
 		at                    time.Duration
 		pools                 []int
 	}
-	open := make(map[string]*life)
-	inForce := ""
-	bad := 0
+	open := make(map[string]*callState)
+	active := ""
+	failures := 0
 	fail := func(format string, args ...any) {
-		if bad++; bad <= 10 {
+		if failures++; failures <= 10 {
 			t.Errorf(format, args...)
 		}
 	}
@@ -137,21 +137,21 @@
 		switch rec.Kind {
 		case record.KindConfig:
 			if rec.By == "numbers" {
-				inForce, _, _ = strings.Cut(rec.Text, " ")
+				active, _, _ = strings.Cut(rec.Text, " ")
 			}
 		case record.KindCallOffered:
 			calls++
-			open[rec.Call] = &life{digest: rec.Text, number: rec.Number, class: rec.Class, at: rec.At}
-			if rec.Text != "" && rec.Text != inForce {
-				fail("%s was pinned to %s, in force was %s", rec.Call, rec.Text, inForce)
+			open[rec.Call] = &callState{digest: rec.Text, number: rec.Number, class: rec.Class, at: rec.At}
+			if rec.Text != "" && rec.Text != active {
+				fail("call %s used the table %s, the active one was %s", rec.Call, rec.Text, active)
 			}
-			if rec.Text == "" { // it is rejected by its number
-				open[rec.Call].digest = inForce
+			if rec.Text == "" { // rejected because of its number
+				open[rec.Call].digest = active
 			}
 		case record.KindAttemptStarted:
 			k := open[rec.Call]
-			if k.digest != inForce {
-				across++
+			if k.digest != active {
+				afterSwap++
 			}
 			pool := slices.IndexFunc(r.fleet.lines, func(l endpointLine) bool { return l.id == rec.Server })
 			k.pools = append(k.pools, pool)
@@ -160,18 +160,18 @@
 			delete(open, rec.Call)
 			rules := r.rules[k.digest]
 			if rules == nil {
-				fail("%s went by a table that there is not: %q", rec.Call, k.digest)
+				fail("call %s was routed by the unknown table %q", rec.Call, k.digest)
 				continue
 			}
 			want := rules.Decide(k.number, k.class, time.Unix(0, int64(k.at)))
 			outcome := record.Outcome(rec.Code).String()
 			if to := portedNumber(k.number); to != "" {
-				there := rules.DecidePorted(k.number, to, k.class, time.Unix(0, int64(k.at)))
-				// Counted only where it cannot have gone as it is.
-				if !want.AllowsOrder(k.pools) && there.Cause == 0 {
-					want, moved = there, moved+1
-				} else if there.Cause != 0 && outcome == "barred" && len(k.pools) == 0 {
-					want = there
+				byPorted := rules.DecidePorted(k.number, to, k.class, time.Unix(0, int64(k.at)))
+				// Counted only if the original number does not explain the pools.
+				if !want.AllowsOrder(k.pools) && byPorted.Cause == 0 {
+					want, ported = byPorted, ported+1
+				} else if byPorted.Cause != 0 && outcome == "barred" && len(k.pools) == 0 {
+					want = byPorted
 				}
 			}
 			switch {
@@ -179,70 +179,72 @@
 				want.Cause == 0 && !want.AllowsOrder(k.pools),
 				outcome == "refused" && len(k.pools) != want.PoolCount(),
 				want.Cause == 0 && outcome != "stood" && outcome != "refused":
-				fail("%s to %s: %s with cause %d after pools %v; its table says %v", rec.Call, k.number, outcome, rec.Cause, k.pools, want)
+				fail("call %s to %s: %s with cause %d after pools %v; its table has %v", rec.Call, k.number, outcome, rec.Cause, k.pools, want)
 			}
 		}
 	}
-	if len(open) > 0 || bad > 10 {
-		t.Errorf("%d calls without an answer in the records, %d calls that went wrong", len(open), bad)
+	if len(open) > 0 || failures > 10 {
+		t.Errorf("%d calls have no answer in the records, %d checks failed", len(open), failures)
 	}
-	return calls, across, moved
+	return calls, afterSwap, ported
 }
 
-// replay makes so many calls on both frontends, so many of them open at once, while tables change.
-func replay(t testing.TB, n, open int, rate float64, every time.Duration, look config.Lookup) {
-	r := startReplay(t, look)
-	panel := dialGatewayCaller(t, r.node.gatewayAddress(), r.answers, "<one>")
-	panel.acknowledges = true // replies that are not acknowledged are kept for 30 s, within a bound
-	l := newLoadGenerator(r.answers, 20*time.Second, open, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), panel)
+// replay makes n calls on both frontends, at most open of them at a time, and activates another table at swapInterval
+// unless that is 0.
+func replay(t testing.TB, n, open int, rate float64, swapInterval time.Duration, lookup config.Lookup) {
+	r := startReplay(t, lookup)
+	gateway := dialGatewayCaller(t, r.node.gatewayAddress(), r.answers, "<one>")
+	gateway.acknowledges = true // unacknowledged replies are kept for 30 s, up to a bound
+	l := newLoadGenerator(r.answers, 20*time.Second, open, dialJSONCaller(t, r.node.jsonAddress(), r.answers, "aaaaaaaa"), gateway)
 	rng := rand.New(rand.NewPCG(31, 32))
-	if every > 0 {
-		go r.swapTables(t, every)
+	if swapInterval > 0 {
+		go r.swapTables(t, swapInterval)
 	} else {
 		close(r.done)
 	}
 	began := time.Now()
 	l.run(n, rate, func(int) string { return fmt.Sprint(1_000_000 + rng.IntN(9_000_000)) })
 	took := l.awaitEnds(t)
-	whole := time.Since(began)
+	elapsed := time.Since(began)
 	close(r.stop)
 	<-r.done
 	r.node.stop(t)
-	calls, across, moved := r.check(t)
-	if calls != n || (across > 0) != (every > 0) || (r.swaps > 0) != (every > 0) || (moved > 0) != (len(look.Servers) > 0) {
-		t.Errorf("%d calls in the records of %d, %d attempts after a swap, %d swaps", calls, n, across, r.swaps)
+	calls, afterSwap, ported := r.check(t)
+	if calls != n || (afterSwap > 0) != (swapInterval > 0) || (r.swaps > 0) != (swapInterval > 0) || (ported > 0) != (len(lookup.Servers) > 0) {
+		t.Errorf("the records have %d of %d calls, %d attempts after a swap, %d swaps", calls, n, afterSwap, r.swaps)
 	}
-	if copies, early, changed, after := r.fleet.observations.total(&r.fleet.observations.simultaneousAttempts), r.fleet.observations.total(&r.fleet.observations.earlyRetries), r.fleet.observations.total(&r.fleet.observations.corrupted), r.fleet.observations.total(&r.fleet.observations.abandonedAttempts); copies+early+changed+after != 0 {
-		t.Errorf("%d second attempts at once, %d resends too early, %d descriptions changed, %d sent on for nobody", copies, early, changed, after)
+	if simultaneous, early, corrupted, abandoned := r.fleet.observations.total(&r.fleet.observations.simultaneousAttempts), r.fleet.observations.total(&r.fleet.observations.earlyRetries), r.fleet.observations.total(&r.fleet.observations.corrupted), r.fleet.observations.total(&r.fleet.observations.abandonedAttempts); simultaneous+early+corrupted+abandoned != 0 {
+		t.Errorf("%d simultaneous attempts, %d early retries, %d corrupted descriptions, %d attempts after the caller had left", simultaneous, early, corrupted, abandoned)
 	}
-	t.Logf("%d calls in %v, %d swaps, %d moved, %d attempts by a table that was no longer in force; answered after p50 %v us, p99 %v us, at most %v us",
-		calls, whole.Round(time.Millisecond), r.swaps, moved, across, took.ValueAtQuantile(50), took.ValueAtQuantile(99), took.Max())
+	t.Logf("%d calls in %v, %d swaps, %d routed by the ported number, %d attempts by a table that was no longer active; answered after p50 %v us, p99 %v us, at most %v us",
+		calls, elapsed.Round(time.Millisecond), r.swaps, ported, afterSwap, took.ValueAtQuantile(50), took.ValueAtQuantile(99), took.Max())
 }
 
-// Numbers are replayed by both frontends while tables change during set-ups.
+// Calls are replayed on both frontends while tables change during set-ups.
 func TestReplayByBothFronts(t *testing.T) {
 	t.Parallel()
 	replay(t, 1500, 32, 0, 50*time.Millisecond, config.Lookup{})
 }
 
-// Numbers are replayed while every third is looked up, by a slow ENUM server.
+// Calls are replayed while every third prefix needs a look-up at a slow ENUM server.
 func TestReplayWithLookups(t *testing.T) {
 	t.Parallel()
-	look := startENUM(t)
-	look.portedTo = portedNumber
-	look.mode.Store(enumSlow)
-	replay(t, 1000, 32, 0, 50*time.Millisecond, config.Lookup{Servers: []string{look.addr}})
+	enum := startENUM(t)
+	enum.portedTo = portedNumber
+	enum.mode.Store(enumSlow)
+	replay(t, 1000, 32, 0, 50*time.Millisecond, config.Lookup{Servers: []string{enum.addr}})
 }
 
-// The whole replay: go test -run '^$' -bench ReplayByBothFronts -benchtime 1x ./internal/server
+// BenchmarkReplayByBothFronts runs the replay with 100,000 calls:
+// go test -run '^$' -bench ReplayByBothFronts -benchtime 1x ./internal/server
 func BenchmarkReplayByBothFronts(b *testing.B) {
 	for range b.N {
 		replay(b, 100_000, 4096, 0, 50*time.Millisecond, config.Lookup{})
 	}
 }
 
-// BenchmarkSwapUnderLoad changes tables under 2,000 set-ups a second, for ten seconds, and compares with the same load
-// without any change.
+// BenchmarkSwapUnderLoad runs 2,000 set-ups per second for ten seconds without and with table changes, to compare the
+// latencies.
 func BenchmarkSwapUnderLoad(b *testing.B) {
 	for range b.N {
 		replay(b, 20_000, 4096, 2000, 0, config.Lookup{})
--- a/internal/server/settings_record_test.go
+++ b/internal/server/settings_record_test.go
@@ -12,8 +12,8 @@
 	"olivedale/internal/record"
 )
 
-// The store keeps the settings in force as a text with a digest, and analyses compare the digests of instances of
-// different versions: these bytes must not follow the names in the source.
+// The records keep the active settings as a text with a digest, and analyses compare the digests of instances with
+// different program versions. The stored bytes must therefore not change when names in the source change.
 func TestSettingsRecordKeepsItsBytes(t *testing.T) {
 	cfg, err := config.Parse([]byte(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","names":"127.0.0.1:9",
 		"limits":{"memory_mb":192,"sockets":1024},"settings":{"groupSize":3,"discovery":"ask","classes":[
@@ -43,7 +43,7 @@
 	}
 }
 
-// readSettingsRecord returns the text of the record that holds the settings.
+// readSettingsRecord returns the text of the settings record in a store.
 func readSettingsRecord(t *testing.T, dir string) string {
 	t.Helper()
 	reader, err := record.OpenDir(dir)
@@ -55,7 +55,7 @@
 		var r record.Record
 		err := reader.Next(&r)
 		if errors.Is(err, io.EOF) {
-			t.Fatal("no record of the settings")
+			t.Fatal("the store has no settings record")
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -12,16 +12,16 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// deploymentSettings returns settings with the classes in the order given.
+// deploymentSettings returns settings with the given classes, pools and circuits by class.
 func deploymentSettings(classes, pools, circuits string) string {
 	return fmt.Sprintf(`{"groupSize":1,"classes":[%s],"domain":{"topology":"pools","releaseGuard":300,"resend":1500,"skilledPools":[%s],
 		"circuitsByClass":[%s]},"limits":{"maxAttempts":4,"cancel":true,"connectTimeout":500},"safety":{"startCapacity":0.5,"cold":1000}}`,
 		classes, pools, circuits)
 }
 
-// Two deployments are served one after the other in one process, with classes of the same names in another order, an
-// absent and an unknown one. Each call goes by its own class of its own deployment: how long it may take, how wide it
-// may be, and where it may go.
+// Deployments are served one after the other in one process, with classes of the same names in a different order and
+// with different values. The deadline, the width and the pools of each call must be those of its class in its own
+// deployment. A call of an unknown class is rejected.
 func TestDeploymentsAreIndependent(t *testing.T) {
 	const (
 		long  = `{"name":"long","aim":2000,"deadline":9000,"credit":1}`
@@ -31,17 +31,17 @@
 	)
 	for i, d := range []struct {
 		settings string
-		deadline map[string]int // in ms
+		deadline map[string]int // in milliseconds
 		width    map[string]int
-		pool     map[string]int // the only one
+		pool     map[string]int // the only pool of the class
 	}{
 		{deploymentSettings(long+","+short, "[0],[1]", "1,3"), map[string]int{"long": 9000, "short": 800}, map[string]int{"long": 1, "short": 3}, map[string]int{"long": 0, "short": 1}},
 		{deploymentSettings(swap+","+other, "[0],[1]", "2"), map[string]int{"long": 700, "short": 6000}, map[string]int{"long": 1, "short": 2}, map[string]int{"long": 1, "short": 0}},
 		{deploymentSettings(short+","+long, "[1],[0]", "3,1"), map[string]int{"long": 9000, "short": 800}, map[string]int{"long": 1, "short": 3}, map[string]int{"long": 0, "short": 1}},
 	} {
-		far := []*fakeExchange{startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")}
-		bed := startTestbedWith(t, d.settings, 192, far, nil)
-		ask := func(class string, width, dest, n int) string {
+		exchanges := []*fakeExchange{startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")}
+		bed := startTestbedWith(t, d.settings, 192, exchanges, nil)
+		setUp := func(class string, width, dest, n int) string {
 			id := fmt.Sprintf("%016x", 0x100*i+n)
 			bed.caller.send(&jsonl.Message{Verb: jsonl.Start, Tag: id, Blob: []byte("o"), Options: []jsonl.Option{{Name: "class", Value: class}, {Name: "left", Value: "60000"},
 				{Name: "key", Value: fmt.Sprint(n)}, {Name: "extras", Value: fmt.Sprintf("dest:%d;width:%d;via:-1", dest, width)}}})
@@ -49,24 +49,24 @@
 		}
 		for n, class := range []string{"long", "short"} {
 			pool := d.pool[class]
-			id := ask(class, d.width[class], pool, 10*n)
-			far[pool].awaitReceived("INVITE", id, 1)
-			far[pool].mu.Lock()
-			m := far[pool].latestMessage["INVITE"+id]
-			far[pool].mu.Unlock()
+			id := setUp(class, d.width[class], pool, 10*n)
+			exchanges[pool].awaitReceived("INVITE", id, 1)
+			exchanges[pool].mu.Lock()
+			m := exchanges[pool].latestMessage["INVITE"+id]
+			exchanges[pool].mu.Unlock()
 			if ms, err := strconv.Atoi(m.Header("X-Timer-Ms")); err != nil || ms > d.deadline[class] || ms < d.deadline[class]-100 || m.Header("X-Cos") != class {
 				t.Errorf("deployment %d, %s: class %s, %s ms, want %d", i, class, m.Header("X-Cos"), m.Header("X-Timer-Ms"), d.deadline[class])
 			}
-			far[pool].send(sipResponse(id, "INVITE", 200, 1, "a"))
+			exchanges[pool].send(sipResponse(id, "INVITE", 200, 1, "a"))
 			bed.answers.await(t, id, 1)
-			for what, id := range map[string]string{"too wide": ask(class, d.width[class]+1, pool, 10*n+1), "another's pool": ask(class, 1, 1-pool, 10*n+2)} {
+			for what, id := range map[string]string{"too wide": setUp(class, d.width[class]+1, pool, 10*n+1), "pool of another class": setUp(class, 1, 1-pool, 10*n+2)} {
 				if got := bed.answers.await(t, id, 1); got != "end 41" {
-					t.Errorf("deployment %d, %s, %s: %q", i, class, what, got)
+					t.Errorf("deployment %d, %s, %s: got %q", i, class, what, got)
 				}
 			}
 		}
-		if got := bed.answers.await(t, ask("nobody", 1, 0, 99), 1); got != "end 34" {
-			t.Errorf("deployment %d, a class that does not exist: %q", i, got)
+		if got := bed.answers.await(t, setUp("nobody", 1, 0, 99), 1); got != "end 34" {
+			t.Errorf("deployment %d, an unknown class: got %q", i, got)
 		}
 		bed.server.Stop()
 		select {
@@ -77,7 +77,7 @@
 	}
 }
 
-// A rejected caller is asked to wait before it tries again, unless the settings forbid that.
+// A rejection includes a retry-after time unless the settings forbid it.
 func TestRetryAfterIsSentWhereSettingsAllow(t *testing.T) {
 	t.Parallel()
 	for key, want := range map[string]bool{"": true, `"retryAfter":true,`: true, `"retryAfter":false,`: false} {
