--- a/internal/server/simulated_exchange_test.go
+++ b/internal/server/simulated_exchange_test.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// offeredDescription and acceptedDescription are the descriptions of a call; they must pass unchanged.
+// offeredDescription and acceptedDescription return the session descriptions of a call, which must be forwarded
+// unchanged.
 func offeredDescription(number string) string  { return "v=0\r\ns={" + number + "} \"\\\r\n" }
 func acceptedDescription(number string) string { return "v=0\r\na=\\}" + number + "\r\n" }
 
-// A behavior is what a simulated exchange does with a set-up.
+// A behavior says how a simulated exchange handles a set-up.
 type behavior string
 
 const (
-	behaveOK               behavior = "ok"     // the call is established, and released by the exchange
-	behaveKeep             behavior = "keep"   // the call is established
-	behaveBusy             behavior = "busy"   // rejected at each attempt: the number is busy
-	behaveOverloaded       behavior = "full"   // rejected at the first attempt: the exchange is overloaded
-	behaveNotForwarded     behavior = "moot"   // rejected at the first attempt: the call was not forwarded
-	behaveTemporaryFailure behavior = "reset"  // rejected at the first attempt, which may have run
+	behaveOK               behavior = "ok"     // established, then released by the exchange
+	behaveKeep             behavior = "keep"   // established
+	behaveBusy             behavior = "busy"   // every attempt is rejected: the number is busy
+	behaveOverloaded       behavior = "full"   // the first attempt is rejected: the exchange is overloaded
+	behaveNotForwarded     behavior = "moot"   // the first attempt is rejected: the call was not forwarded
+	behaveTemporaryFailure behavior = "reset"  // the first attempt is rejected and may have run
 	behaveSilent           behavior = "silent" // not answered
-	behavePartialAnswer    behavior = "half"   // the answer stops within the message, and the connection brings nothing more
-	behaveUnresponsive     behavior = "mute"   // the connection stays open and brings nothing more
+	behavePartialAnswer    behavior = "half"   // only part of the answer is sent, and nothing more on the connection
+	behaveUnresponsive     behavior = "mute"   // nothing more is sent on the connection, which stays open
 )
 
-// establishes reports whether the nth attempt is established: those that are rejected once are at the second.
+// establishes reports whether the nth attempt is established. Behaviors that reject the first attempt establish later
+// ones.
 func (b behavior) establishes(nth int) bool {
 	switch b {
 	case behaveOK, behaveKeep:
@@ -38,19 +40,19 @@
 	return nth > 1
 }
 
-// releaseDelay is when an exchange releases a call that it establishes by behaveOK.
+// releaseDelay is the time after which an exchange releases a call that it has established by behaveOK.
 const releaseDelay = 20 * time.Millisecond
 
-// simulatedExchange is an exchange of either protocol. The number called says what it does.
+// simulatedExchange is an exchange that speaks SIP or H.248. The called number selects its behavior.
 type simulatedExchange struct {
 	observations *callObservations
 	listener     net.Listener
 	mu           sync.Mutex
 	conns        map[net.Conn]bool
 
-	invited        int  // set-ups that came, guarded by mu
-	behavesByDigit bool // the last digit of a number says what becomes of a call, see behaviorByDigit
-	answersNothing bool // no set-up is answered, whichever attempt it is; set before the server starts
+	invited        int  // number of received set-ups, guarded by mu
+	behavesByDigit bool // the last digit of a number selects the behavior, see behaviorByDigit
+	answersNothing bool // no attempt is answered; must be set before the server starts
 }
 
 func startSimulatedExchange(t testing.TB, r *callObservations, h248 bool) *simulatedExchange {
@@ -82,7 +84,7 @@
 
 func (s *simulatedExchange) addr() string { return s.listener.Addr().String() }
 
-// stop ends the process: nobody listens, and its connections are reset.
+// stop simulates the end of the process: the listener is closed and the connections are reset.
 func (s *simulatedExchange) stop() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -93,15 +95,15 @@
 	}
 }
 
-// countInvite counts a set-up.
+// countInvite counts a received set-up.
 func (s *simulatedExchange) countInvite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.invited++
 }
 
-// behaviorByDigit returns what becomes of the nth attempt of a call by the last digit of its number: 5 is busy at
-// every exchange, 6, 7 and 8 are rejected once or twice, 9 is not answered at first.
+// behaviorByDigit returns the behavior for the nth attempt of a call by the last digit of its number: 5 is busy at every
+// exchange, 6 and 7 are rejected once, 8 is rejected twice, and 9 is not answered at the first attempt.
 func behaviorByDigit(number string, nth int) behavior {
 	switch number[len(number)-1] {
 	case '5':
@@ -116,7 +118,7 @@
 	return behaveOK
 }
 
-// behaviorByName returns the behavior that a number names, such as 'busy.1'.
+// behaviorByName returns the behavior named by the first part of a number such as 'busy.1'.
 func behaviorByName(number string) behavior {
 	name, _, _ := strings.Cut(number, ".")
 	return behavior(name)
--- a/internal/server/simulated_h248_test.go
+++ b/internal/server/simulated_h248_test.go
@@ -11,13 +11,13 @@
 	"olivedale/internal/codec/h248/transaction"
 )
 
-// An h248Session is one connection to a simulated exchange that speaks H.248.
+// An h248Session is a connection to a simulated exchange that speaks H.248.
 type h248Session struct {
 	exchange    *simulatedExchange
 	conn        net.Conn
 	writeMutex  sync.Mutex
 	lastContext uint32
-	contexts    map[string]string // of established calls, by termination
+	contexts    map[string]string // contexts of established calls by termination
 }
 
 // serveH248 serves a connection until it is closed.
@@ -55,7 +55,7 @@
 	_, _ = s.conn.Write(b)
 }
 
-// reply replies to a request of one command.
+// reply replies to a request that has one command.
 func (s *h248Session) reply(t *h248.Transaction, context string, descriptors ...*h248.Node) {
 	c := t.Actions[0].Commands[0]
 	done := &h248.Command{Name: c.Name, Termination: c.Termination, Descriptors: descriptors}
@@ -99,7 +99,7 @@
 	s.reject(t, id, b)
 }
 
-// establish answers a set-up and, if asked to, releases the call after releaseDelay.
+// establish accepts a set-up and, if releases is set, releases the call after releaseDelay.
 func (s *h248Session) establish(t *h248.Transaction, id, number string, releases bool) {
 	termination := t.Actions[0].Commands[0].Termination
 	s.lastContext++
@@ -125,7 +125,7 @@
 	})
 }
 
-// reject rejects a set-up, unless its behavior is not to answer.
+// reject rejects a set-up, or leaves it unanswered if the behavior says so.
 func (s *h248Session) reject(t *h248.Transaction, id string, b behavior) {
 	code := 0
 	switch b {
--- a/internal/server/simulated_sip_test.go
+++ b/internal/server/simulated_sip_test.go
@@ -9,13 +9,13 @@
 	"olivedale/internal/codec/sip"
 )
 
-// A sipSession is one connection to a simulated exchange that speaks SIP.
+// A sipSession is a connection to a simulated exchange that speaks SIP.
 type sipSession struct {
 	exchange   *simulatedExchange
 	conn       net.Conn
 	writeMutex sync.Mutex
 	isMute     bool
-	openCalls  map[string]bool // set-ups that are open on this connection end with it
+	openCalls  map[string]bool // open set-ups on this connection, which end with it
 }
 
 // serveSIP serves a connection until it is closed.
@@ -36,7 +36,7 @@
 	}
 }
 
-// end ends the set-ups that are open on the connection.
+// end ends the open set-ups when the connection is closed.
 func (s *sipSession) end() {
 	for id := range s.openCalls {
 		s.exchange.observations.endAttempt(id, true)
@@ -110,7 +110,7 @@
 	}
 }
 
-// establish answers a set-up and, if asked to, releases the call after releaseDelay.
+// establish accepts a set-up and, if releases is set, releases the call after releaseDelay.
 func (s *sipSession) establish(m *sip.Message, number string, releases bool) {
 	delete(s.openCalls, m.CallID)
 	s.respond(m, 180, nil, nil)
@@ -131,7 +131,7 @@
 	})
 }
 
-// reject rejects a set-up, unless its behavior is not to answer.
+// reject rejects a set-up, or leaves it unanswered if the behavior says so.
 func (s *sipSession) reject(m *sip.Message, b behavior) {
 	status, diagnosis := 0, ""
 	switch b {
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -14,7 +14,7 @@
 	"olivedale/internal/frontend/jsonclient"
 )
 
-// A testbed is a server, its exchanges s-0, s-1, ... and one caller.
+// A testbed is a running server with fake exchanges s-0, s-1, ... and one caller.
 type testbed struct {
 	*testServer
 	t         *testing.T
@@ -29,7 +29,7 @@
 	return startTestbedWith(t, settings, defaultDeployment.memoryMB, exchanges, decider, more...)
 }
 
-// startTestbedWith starts a testbed with other settings and so many MB of memory.
+// startTestbedWith starts a testbed with the given settings and memory size.
 func startTestbedWith(t *testing.T, settings string, memoryMB int, exchanges []*fakeExchange, decider *scriptedDecider,
 	more ...func(*Options)) *testbed {
 	t.Helper()
@@ -80,7 +80,7 @@
 	})
 }
 
-// dialCaller connects one more caller; the server has accepted it when it returns.
+// dialCaller connects another caller. The server has accepted the connection when dialCaller returns.
 func (b *testbed) dialCaller(salt string) *jsonCaller {
 	b.t.Helper()
 	before := len(strings.Fields(b.answers.of("echo")))
@@ -90,7 +90,7 @@
 	return client
 }
 
-// runIteration runs f as one iteration of the event loop; once the server has ended, it does nothing.
+// runIteration runs f as one iteration of the event loop and waits for it. It does nothing if the server has ended.
 func (b *testbed) runIteration(f func()) {
 	done := make(chan struct{})
 	b.server.loop.Execute(func() { b.server.loop.RunIteration(f); close(done) })
@@ -100,12 +100,13 @@
 	}
 }
 
-// deliver hands data of an exchange in, as if it had been received in this iteration.
+// deliver passes data to the server as if it had been received from an exchange in this iteration.
 func (b *testbed) deliver(i int, data []byte) {
 	b.server.backends.Get(fmt.Sprint("s-", i)).HandleData(data)
 }
 
-// findClient returns the server's side of the caller that has a set-up open, or of the latest caller for no id.
+// findClient returns the server's state of the caller with the given open set-up, or of the latest caller if id is
+// empty.
 func (b *testbed) findClient(id string) (found *jsonclient.Client) {
 	for k := range b.server.frontends.json.Clients().Oldest() {
 		if id == "" || k.HasSetup(id) {
@@ -115,18 +116,18 @@
 	return found
 }
 
-// jsonMessage returns a message of a caller as it is sent.
+// jsonMessage returns an encoded message of a caller.
 func jsonMessage(verb, id string) []byte {
 	return jsonl.Append(nil, &jsonl.Message{Verb: verb, Tag: id, ResultCode: 16, HasResultCode: true})
 }
 
-// jsonSetup returns a set-up of a caller as it is sent.
+// jsonSetup returns an encoded set-up of a caller.
 func jsonSetup(id string, left time.Duration) []byte {
 	return jsonl.Append(nil, &jsonl.Message{Verb: jsonl.Start, Tag: id, Blob: []byte("o"), Options: []jsonl.Option{{Name: "class", Value: "voice"},
 		{Name: "left", Value: fmt.Sprint(left.Milliseconds())}, {Name: "key", Value: "1"}, {Name: "extras", Value: "dest:0;width:1;via:-1"}}})
 }
 
-// awaitNoPendingWork waits until no call is open and no connection waits for an answer.
+// awaitNoPendingWork waits until there are no open calls, set-ups or attempts.
 func (b *testbed) awaitNoPendingWork() {
 	b.t.Helper()
 	eventually(b.t, "there is no pending work", func() bool {
@@ -146,10 +147,10 @@
 
 const testCallID = "00000000000000aa"
 
-// awaitQueuedSetups waits until so many set-ups are queued for exchanges.
+// awaitQueuedSetups waits until exactly n set-ups are queued for exchanges.
 func (b *testbed) awaitQueuedSetups(n int) {
 	b.t.Helper()
-	eventually(b.t, fmt.Sprint(n, " set-ups wait"), func() bool {
+	eventually(b.t, fmt.Sprint(n, " set-ups are queued"), func() bool {
 		got := 0
 		b.runIteration(func() {
 			for l := range b.server.backends.All() {
@@ -160,7 +161,7 @@
 	})
 }
 
-// awaitEnd waits until the server has ended by itself.
+// awaitEnd waits until the server has ended.
 func (b *testbed) awaitEnd() {
 	b.t.Helper()
 	select {
@@ -173,16 +174,16 @@
 	}
 }
 
-// isServing reports whether the server has not decided to end.
+// isServing reports whether the server is not in the stopping state.
 func (b *testbed) isServing() (serves bool) {
 	b.runIteration(func() { serves = b.server.lifecycle.state != stateStopping })
 	return serves
 }
 
-// A dialGate blocks dials from a moment on.
+// A dialGate blocks dials after closed is closed and until opened is closed.
 type dialGate struct {
-	closed, opened chan struct{} // closed: dials block, blocked dials go on
-	blockedDials   chan bool     // a dial is blocked
+	closed, opened chan struct{} // closed to block dials, and to let them continue
+	blockedDials   chan bool     // receives a value for each blocked dial
 }
 
 func newDialGate() *dialGate {
@@ -201,7 +202,8 @@
 	}
 }
 
-// establishAndDisconnect establishes a call at an exchange and then breaks the connection; its next dial is blocked.
+// establishAndDisconnect establishes a call at an exchange and then resets the connection. It returns when the next dial
+// is blocked.
 func (b *testbed) establishAndDisconnect(a *fakeExchange, g *dialGate) (id string) {
 	b.t.Helper()
 	close(g.closed)
@@ -218,7 +220,7 @@
 func (b *testbed) servesAfterMinDrainTime() bool {
 	b.t.Helper()
 	b.server.Stop()
-	eventually(b.t, "the linger is over", func() (over bool) {
+	eventually(b.t, "the server could have ended", func() (over bool) {
 		over = !b.isServing()
 		b.runIteration(func() {
 			over = b.server.lifecycle.drainingSince > 0 && b.server.loop.Now()-b.server.lifecycle.drainingSince > minDrainTime+2*quietPeriod
@@ -228,10 +230,10 @@
 	return b.isServing()
 }
 
-// withGateways turns the H.248 frontend on.
+// withGateways enables the H.248 frontend.
 func withGateways(o *Options) { o.H248 = h248Config() }
 
-// dialGateway connects a gateway, which has sent its message id when it returns.
+// dialGateway connects a gateway. The server knows its message identifier when dialGateway returns.
 func (b *testbed) dialGateway(mid string) *gatewayCaller {
 	b.t.Helper()
 	p := dialGatewayCaller(b.t, b.gatewayAddress(), b.answers, mid)
@@ -242,7 +244,7 @@
 	return p
 }
 
-// latestGateway returns the server's side of the gateway that was used last.
+// latestGateway returns the server's state of the most recently used gateway.
 func (b *testbed) latestGateway() *gateway.Gateway {
 	for p := range b.server.frontends.gateway.Gateways().Latest() {
 		return p
@@ -250,7 +252,7 @@
 	return nil
 }
 
-// frameTransactions returns transactions as they are sent.
+// frameTransactions returns transactions as encoded frames, one message each.
 func frameTransactions(t *testing.T, mid string, all ...*h248.Transaction) (b []byte) {
 	t.Helper()
 	for _, tr := range all {
@@ -262,18 +264,18 @@
 	return b
 }
 
-// testBothOrders tests two events in both orders, each on a server of its own.
-func testBothOrders(t *testing.T, one, other string, play func(t *testing.T, oneFirst bool)) {
+// testBothOrders runs a test of two events in both orders, as two subtests.
+func testBothOrders(t *testing.T, one, other string, test func(t *testing.T, oneFirst bool)) {
 	t.Parallel()
 	for _, first := range []string{one, other} {
 		t.Run(first+" first", func(t *testing.T) {
 			t.Parallel()
-			play(t, first == one)
+			test(t, first == one)
 		})
 	}
 }
 
-// runInOrder runs two functions one after the other, in the order asked for.
+// runInOrder runs two functions one after the other, in the given order.
 func runInOrder(oneFirst bool, one, other func()) {
 	if !oneFirst {
 		one, other = other, one
--- a/internal/server/testserver_test.go
+++ b/internal/server/testserver_test.go
@@ -14,7 +14,7 @@
 	"olivedale/internal/config"
 )
 
-// testServer is a running server with its simulated exchanges.
+// testServer is a running server with simulated exchanges.
 type testServer struct {
 	server       *Server
 	discovery    *discoveryServer
@@ -40,7 +40,7 @@
  "domain":{"topology":"pools","releaseGuard":300,"resend":1500,"skilledPools":[[0,1,2,3]]},
  "limits":{"maxAttempts":4,"cancel":true,"connectTimeout":500},"safety":{"startCapacity":0.5,"cold":1000}}`
 
-// A testDeployment is what the configurations of test servers differ in.
+// A testDeployment holds the values that differ between the configurations of test servers.
 type testDeployment struct {
 	name     string
 	settings string
@@ -51,7 +51,7 @@
 // defaultDeployment is the deployment of a single server.
 var defaultDeployment = testDeployment{name: "n0", settings: settings, memoryMB: 192, sockets: 1024}
 
-// config returns the configuration of a server that knows some exchanges from the start.
+// config returns the configuration of a server whose initial list of endpoints is lines.
 func (d testDeployment) config(t testing.TB, discovery *discoveryServer, lines []endpointLine) *config.Config {
 	t.Helper()
 	var endpoints []config.Endpoint
@@ -85,10 +85,10 @@
 	return cfg
 }
 
-// h248Config turns the H.248 frontend and the admin address on.
+// h248Config returns options that enable the H.248 frontend and the admin address.
 func h248Config() *config.H248 { return &config.H248{Listen: "127.0.0.2:0", Admin: "127.0.0.3:0"} }
 
-// run makes the server and runs it; ended is called when it has ended.
+// run creates the server and runs it. It returns when the server has started; ended is called when the server has ended.
 func (s *testServer) run(t testing.TB, cfg *config.Config, o Options, ended func()) {
 	t.Helper()
 	var err error
@@ -121,7 +121,8 @@
 	})
 }
 
-// startTestServer starts a server with a simulated exchange for each flag: true for H.248.
+// startTestServer starts a server with a simulated exchange for each flag. The exchange speaks H.248 if the flag is set
+// and SIP otherwise.
 func startTestServer(t *testing.T, isH248 ...bool) *testServer {
 	t.Helper()
 	s := &testServer{
@@ -147,12 +148,12 @@
 	return s
 }
 
-// eventually waits for a condition that should soon hold.
+// eventually waits up to 10 seconds for a condition.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until: %s", what)
 		}
 	}
 }
@@ -164,17 +165,17 @@
 	}
 }
 
-// fleet is several servers with the same simulated exchanges and discovery service.
+// fleet is a group of servers that share simulated exchanges and a discovery service.
 type fleet struct {
 	discovery    *discoveryServer
 	observations *callObservations
 	exchanges    []*simulatedExchange
 	lines        []endpointLine
-	numbers      *config.Numbering // of servers started from now on
-	decider      call.Decider      // of the next server, in place of the admission control
-	pools        string            // that calls may go to; "": those of settings
-	recordQueue  config.Size       // of records; 0: the default
-	sockets      int               // 0: 1024
+	numbers      *config.Numbering // numbering options of servers that are started later
+	decider      call.Decider      // decider of the next server; nil for the admission control
+	pools        string            // pools of the calls; "" for those of settings
+	recordQueue  config.Size       // queue size of records; 0 for the default
+	sockets      int               // socket limit; 0 for 1024
 }
 
 func startFleet(t testing.TB, servers int) *fleet {
@@ -189,7 +190,7 @@
 	return f
 }
 
-// startServer starts one more server; skew is how far its clock is ahead. Without dir it records nothing.
+// startServer starts another server. Its clock is ahead by skew. It writes records to dir unless dir is empty.
 func (f *fleet) startServer(t testing.TB, name, dir string, skew *atomic.Int64) *testServer {
 	t.Helper()
 	const allPools = "[[0,1,2,3]]"
@@ -223,7 +224,7 @@
 	return s
 }
 
-// stop shuts a server down in good order.
+// stop shuts the server down and waits for its end.
 func (s *testServer) stop(t testing.TB) {
 	t.Helper()
 	s.server.Stop()
