--- a/internal/server/backends_test.go
+++ b/internal/server/backends_test.go
@@ -18,7 +18,7 @@
 // the set-up times out in the same iteration in which the dial completes. Nothing may be sent to the exchange.
 func TestDialCompletesAfterCallerLeft(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"gives up", "closes", "runs out"} {
+	for _, how := range []string{"cancels the call", "closes", "times out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -35,12 +35,12 @@
 			id := k.setUp("1", 400*time.Millisecond)
 			bed.awaitQueuedSetups(1)
 			switch how {
-			case "gives up":
+			case "cancels the call":
 				k.hangUp(id)
 			case "closes":
 				k.close()
 			}
-			if how != "runs out" {
+			if how != "times out" {
 				bed.awaitQueuedSetups(0)
 				close(gate)
 			} else {
@@ -127,8 +127,8 @@
 			server, answers := startTestServer(t, false), newAnswerLog()
 			client := dialJSONCaller(t, server.jsonAddress(), answers, "aaaaaaaa")
 			first := server.server.backends.Get("s-0").DialSerial()
-			stood := client.setUp("keep.1", 5*time.Second)
-			answers.await(t, stood, 1)
+			established := client.setUp("keep.1", 5*time.Second)
+			answers.await(t, established, 1)
 			client.setUp(kind+".1", 200*time.Millisecond)
 			eventually(t, "the exchange is dialed again", func() bool {
 				serial := make(chan int, 1)
@@ -138,7 +138,7 @@
 			eventually(t, "a call is established", func() bool {
 				return strings.HasPrefix(answers.await(t, client.setUp("keep.2", 5*time.Second), 1), "stands")
 			})
-			if got := answers.of(stood); got != "stands "+acceptedDescription("keep.1") {
+			if got := answers.of(established); got != "stands "+acceptedDescription("keep.1") {
 				t.Errorf("the established call: got %q", got) // established calls do not depend on a connection
 			}
 		})
@@ -196,7 +196,7 @@
 // must still be processed, and no second attempt may start.
 func TestAnswerWhileProcessWasStopped(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"mute", "half way", "moved"} {
+	for _, how := range []string{"mute", "partial message", "moved"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			first, second := startFakeExchange(t, "127.0.0.1:0"), startFakeExchange(t, "127.0.0.1:0")
@@ -207,7 +207,7 @@
 			c := first.awaitConn()
 			bed.runIteration(func() {
 				l, now := bed.server.backends.Get("s-0"), bed.server.loop.Now()
-				if how == "half way" {
+				if how == "partial message" {
 					bed.deliver(0, answer[:20])
 					answer = answer[20:]
 					now += 2 * backend.PartialMessageTimeout
--- a/internal/server/callers_test.go
+++ b/internal/server/callers_test.go
@@ -78,13 +78,13 @@
 	idPrefix string
 }
 
-func dialJSONCaller(t testing.TB, addr string, answers *answerLog, salt string) *jsonCaller {
+func dialJSONCaller(t testing.TB, addr string, answers *answerLog, idPrefix string) *jsonCaller {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &jsonCaller{answerLog: answers, conn: c, idPrefix: salt}
+	k := &jsonCaller{answerLog: answers, conn: c, idPrefix: idPrefix}
 	go func() {
 		var in jsonl.Reader
 		buf := make([]byte, 4096)
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -100,14 +100,14 @@
 	t.Parallel()
 	exchange := startFakeExchange(t, "127.0.0.1:0")
 	bed := startTestbed(t, []*fakeExchange{exchange}, &scriptedDecider{servers: []string{"s-0", "s-0"}})
-	stands := bed.caller.setUp("1", 3*time.Second)
-	exchange.awaitReceived("INVITE", stands, 1)
+	established := bed.caller.setUp("1", 3*time.Second)
+	exchange.awaitReceived("INVITE", established, 1)
 	bed.runIteration(func() {
-		bed.deliver(0, sipResponse(stands, "INVITE", 200, 1, "a"))
-		bed.deliver(0, sipResponse(stands, "INVITE", 200, 1, "b"))
-		bed.deliver(0, sipResponse(stands, "INVITE", 503, 1, ""))
+		bed.deliver(0, sipResponse(established, "INVITE", 200, 1, "a"))
+		bed.deliver(0, sipResponse(established, "INVITE", 200, 1, "b"))
+		bed.deliver(0, sipResponse(established, "INVITE", 503, 1, ""))
 	})
-	bed.answers.await(t, stands, 1)
+	bed.answers.await(t, established, 1)
 	refused := bed.caller.setUp("1", 3*time.Second)
 	exchange.awaitReceived("INVITE", refused, 1)
 	bed.runIteration(func() {
@@ -115,18 +115,18 @@
 		bed.deliver(0, sipResponse(refused, "INVITE", 200, 1, "c"))
 	})
 	bed.answers.await(t, refused, 1)
-	exchange.send(sipRelease(stands, 16))
-	bed.answers.await(t, stands, 2)
+	exchange.send(sipRelease(established, 16))
+	bed.answers.await(t, established, 2)
 	bed.runIteration(func() {
 		bed.server.backends.Get("s-0").Tick(bed.server.loop.Now() + time.Hour)
-		bed.deliver(0, sipResponse(stands, "INVITE", 200, 1, "d"))
+		bed.deliver(0, sipResponse(established, "INVITE", 200, 1, "d"))
 		bed.deliver(0, sipResponse(refused, "INVITE", 200, 1, "e"))
 		if n := bed.server.backends.Get("s-0").RememberedCalls(); n != 0 {
 			t.Errorf("%d dialogs remain, want none", n)
 		}
 	})
 	bed.awaitNoPendingWork()
-	if one, two := bed.answers.of(stands), bed.answers.of(refused); one != "stands a end 16" || two != "end 41" {
+	if one, two := bed.answers.of(established), bed.answers.of(refused); one != "stands a end 16" || two != "end 41" {
 		t.Errorf("the callers received %q and %q", one, two)
 	}
 }
@@ -147,7 +147,7 @@
 				bed.runIteration(func() {
 					_, _ = c.Write(sipResponse(id, "INVITE", 200, 1, "a"))
 					resetConn(c)
-					bed.findClient("").HandleData(jsonSetup(testCallID, 2*time.Second)) // goes to the same exchange
+					bed.findClient("").HandleData(jsonSetup(testCallID, 2*time.Second)) // is sent to the same exchange
 				})
 			} else {
 				_, _ = c.Write(sipResponse(id, "INVITE", 200, 1, "a"))
@@ -232,9 +232,9 @@
 	exchange.send(sipResponse(id, "INVITE", 200, 1, "a"))
 	bed.answers.await(t, id, 1)
 	bed.runIteration(func() {
-		mine := bed.findClient("")
+		client := bed.findClient("")
 		resetConn(k.conn)
-		bed.server.loop.Write(mine.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
+		bed.server.loop.Write(client.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
 	})
 	eventually(t, "the connection is closed", func() (gone bool) {
 		bed.runIteration(func() { gone = bed.server.frontends.json.Clients().Len() == 1 })
@@ -332,7 +332,7 @@
 // A caller cancels its call or disconnects in the iteration in which the retry guard of the call ends. If the caller
 // leaves first, no attempt starts; if the guard ends first, the new attempt is stopped before it is written.
 func TestCallerLeavesAsRetryGuardEnds(t *testing.T) {
-	for _, how := range []string{"gives up", "closes"} {
+	for _, how := range []string{"cancels the call", "closes"} {
 		t.Run(how, func(t *testing.T) {
 			testBothOrders(t, "the caller", "the guard", func(t *testing.T, caller bool) {
 				exchange := startFakeExchange(t, "127.0.0.1:0")
@@ -346,7 +346,7 @@
 					}
 					k := bed.findClient(id)
 					runInOrder(caller, func() {
-						if how == "gives up" {
+						if how == "cancels the call" {
 							k.HandleData(jsonMessage(jsonl.Finish, id))
 						} else {
 							bed.server.calls.CallerDisconnected(k)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -336,8 +336,8 @@
 	s.jsonToH248()
 	s.gatewayToSIP()
 	s.awaitNoPendingWork()
-	transcripts := []goldentest.Message{s.exchange.transcript("to the exchange", s.ids), s.server.transcript("to the H.248 server", s.ids),
-		s.caller.transcript("to the caller", s.ids), s.gateway.transcript("to the panel", s.ids)}
+	transcripts := []goldentest.Message{s.exchange.transcript("to the exchange", s.ids), s.server.transcript("to the H.248 exchange", s.ids),
+		s.caller.transcript("to the caller", s.ids), s.gateway.transcript("to the gateway", s.ids)}
 	s.administer()
 	goldentest.Messages(t, "transcript.txt", append(transcripts, s.admin.transcript("to the operator", s.ids)))
 }
--- a/internal/server/observations_test.go
+++ b/internal/server/observations_test.go
@@ -33,20 +33,20 @@
 			for n := 0; ; n++ {
 				began := time.Now()
 				time.Sleep(5 * time.Millisecond)
-				over := int64(time.Since(began) - 5*time.Millisecond)
-				delayMeter.now.Store(max(delayMeter.now.Load(), over))
+				delay := int64(time.Since(began) - 5*time.Millisecond)
+				delayMeter.currentMax.Store(max(delayMeter.currentMax.Load(), delay))
 				if n%200 == 0 { // after at least one second
-					delayMeter.before.Store(delayMeter.now.Swap(0))
+					delayMeter.previousMax.Store(delayMeter.currentMax.Swap(0))
 				}
 			}
 		}()
 	})
-	return 3 * time.Duration(max(delayMeter.now.Load(), delayMeter.before.Load()))
+	return 3 * time.Duration(max(delayMeter.currentMax.Load(), delayMeter.previousMax.Load()))
 }
 
 var delayMeter struct {
-	once        sync.Once
-	now, before atomic.Int64
+	once                    sync.Once
+	currentMax, previousMax atomic.Int64
 }
 
 // retryObserver counts, by the clock of the server, attempts that start within the retry guard and attempts that start
--- a/internal/server/releases_test.go
+++ b/internal/server/releases_test.go
@@ -113,8 +113,8 @@
 				bed.runIteration(func() {
 					_, _ = k.conn.Write(input)
 					resetConn(k.conn)
-					mine := bed.findClient("")
-					bed.server.loop.Write(mine.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
+					client := bed.findClient("")
+					bed.server.loop.Write(client.Conn(), func(b []byte) []byte { return append(b, jsonMessage(jsonl.Echoed, "t")...) })
 				})
 			} else {
 				_, _ = k.conn.Write(input[:len(jsonMessage(jsonl.Finish, id))])
--- a/internal/server/testbed_test.go
+++ b/internal/server/testbed_test.go
@@ -81,10 +81,10 @@
 }
 
 // dialCaller connects another caller. The server has accepted the connection when dialCaller returns.
-func (b *testbed) dialCaller(salt string) *jsonCaller {
+func (b *testbed) dialCaller(idPrefix string) *jsonCaller {
 	b.t.Helper()
 	before := len(strings.Fields(b.answers.of("echo")))
-	client := dialJSONCaller(b.t, b.jsonAddress(), b.answers, salt)
+	client := dialJSONCaller(b.t, b.jsonAddress(), b.answers, idPrefix)
 	client.send(&jsonl.Message{Verb: jsonl.Echo, Tag: "t"})
 	b.answers.await(b.t, "echo", before+1)
 	return client
