--- a/internal/server/numbering.go
+++ b/internal/server/numbering.go
@@ -213,8 +213,8 @@
 	return nodes
 }
 
-// report logs the look-up counters.
-func (r *numberRouter) report() {
+// logCounters logs the look-up counters.
+func (r *numberRouter) logCounters() {
 	c, ok := r.lookups()
 	if !ok {
 		return
--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -174,8 +174,8 @@
 	})}
 }
 
-// report logs the counters.
-func (c *overloadControl) report() {
+// logCounters logs the counters.
+func (c *overloadControl) logCounters() {
 	if !c.isOpen() {
 		return
 	}
--- a/internal/server/report.go
+++ b/internal/server/report.go
@@ -27,15 +27,15 @@
 	}
 }
 
-// ReportSoon writes the counters. It may be called from anywhere once the server has started.
+// ReportSoon logs the counters on the loop. It may be called from any goroutine once the server has started.
 func (s *Server) ReportSoon() { s.loop.Execute(s.Report) }
 
 // Report logs the counters. It must be called on the loop or after the loop has ended.
 func (s *Server) Report() {
-	s.reportCalls()
-	s.reportConnections()
-	s.overload.report()
-	s.numbering.report()
+	s.logCallCounters()
+	s.logConnectionCounters()
+	s.overload.logCounters()
+	s.numbering.logCounters()
 	for _, end := range call.AllAttemptEnds() {
 		if count := s.calls.Counters.Ends[end]; count > 0 {
 			s.loop.Log.Infow("ends", "end", end.String(), "count", count)
@@ -43,7 +43,7 @@
 	}
 }
 
-func (s *Server) reportCalls() {
+func (s *Server) logCallCounters() {
 	log, c := s.loop.Log, &s.calls.Counters
 	log.Infow("counters", "requests", c.Requests, "stood", c.Established, "refused", c.Rejected, "failed", c.Failed,
 		"given_up", c.Abandoned, "repeated", c.Repeated, "reused", c.ReusedIDs, "crowded", c.OverLimit,
@@ -55,7 +55,7 @@
 		"unknown_dropped", c.UnknownReleasesDropped)
 }
 
-func (s *Server) reportConnections() {
+func (s *Server) logConnectionCounters() {
 	log, f, b, d := s.loop.Log, &s.frontends.host.Counters, &s.backends.Counters, &s.discovery.counters
 	log.Infow("counters", "clients", f.Accepted, "clients_shut", f.ClosedIdle, "clients_turned_away", f.RejectedFull,
 		"clients_silent", f.ClosedOverdue, "malformed", s.malformed.count, "tests", f.Echoes,
