--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -39,8 +39,8 @@
 }
 
 // newOverloadControl reads the keys, creates the member and registers it with the admission control. If the settings of
-// the platform forbid messages between controllers, or the peers cannot be resolved, it logs that and returns nil: the
-// controller then makes its decisions without its peers.
+// the platform forbid messages between controllers, or the peers cannot be resolved, it logs that and returns nil. The
+// controller then makes its decisions without its peers, and they without it.
 func newOverloadControl(s *Server, o *config.OverloadControl, engine *admission.Engine) (*overloadControl, error) {
 	if s.cfg.PeerMessagesForbidden {
 		s.loop.Log.Warnw("share_off", "why", "the settings forbid messages between controllers")
