--- a/cmd/olivedale/signals.go
+++ b/cmd/olivedale/signals.go
@@ -53,7 +53,7 @@
 	<-node.Started()
 	for request := range s.requests {
 		if request == syscall.SIGUSR1 {
-			node.ReportSoon()
+			node.LogCountersAsync()
 			continue
 		}
 		reloadConfig(node, log)
--- a/internal/server/report.go
+++ b/internal/server/report.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// ReportSoon logs the counters on the loop. It may be called from any goroutine once the server has started.
-func (s *Server) ReportSoon() { s.loop.Execute(s.Report) }
+// LogCountersAsync logs the counters on the loop. It may be called from any goroutine once the server has started.
+func (s *Server) LogCountersAsync() { s.loop.Execute(s.Report) }
 
 // Report logs the counters. It must be called on the loop or after the loop has ended.
 func (s *Server) Report() {
