--- a/cmd/olivedale/serve.go
+++ b/cmd/olivedale/serve.go
@@ -31,7 +31,7 @@
 	go signals.shutDown(node)
 	go signals.handleRequests(node, log)
 	err = node.Run()
-	node.Report()
+	node.LogCounters()
 	return logFailure(log, err)
 }
 
--- a/internal/server/report.go
+++ b/internal/server/report.go
@@ -28,10 +28,10 @@
 }
 
 // LogCountersAsync logs the counters on the loop. It may be called from any goroutine once the server has started.
-func (s *Server) LogCountersAsync() { s.loop.Execute(s.Report) }
+func (s *Server) LogCountersAsync() { s.loop.Execute(s.LogCounters) }
 
-// Report logs the counters. It must be called on the loop or after the loop has ended.
-func (s *Server) Report() {
+// LogCounters logs the counters. It must be called on the loop or after the loop has ended.
+func (s *Server) LogCounters() {
 	s.logCallCounters()
 	s.logConnectionCounters()
 	s.overload.logCounters()
