--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -28,24 +28,24 @@
 // A tableRun is a server whose numbering table changes while calls are being set up.
 type tableRun struct {
 	*testServer
-	t      *testing.T
-	fleet  *fleet
-	file   string
-	dir    string         // folder of the records
-	pools  map[string]int // pool of all numbers, by table digest
-	caller *jsonCaller
-	log    *answerLog
+	t       *testing.T
+	fleet   *fleet
+	file    string
+	dir     string         // folder of the records
+	pools   map[string]int // pool of all numbers, by table digest
+	caller  *jsonCaller
+	answers *answerLog
 }
 
 func startTableRun(t *testing.T) *tableRun {
 	t.Helper()
 	r := &tableRun{
-		t:     t,
-		fleet: startFleet(t, 2),
-		file:  filepath.Join(t.TempDir(), "numbers.toml"),
-		dir:   t.TempDir(),
-		pools: make(map[string]int),
-		log:   newAnswerLog(),
+		t:       t,
+		fleet:   startFleet(t, 2),
+		file:    filepath.Join(t.TempDir(), "numbers.toml"),
+		dir:     t.TempDir(),
+		pools:   make(map[string]int),
+		answers: newAnswerLog(),
 	}
 	for _, s := range r.fleet.exchanges {
 		s.answersNothing = true // otherwise a retry after an unresponsive connection would be established
@@ -53,7 +53,7 @@
 	r.writeTable(0)
 	r.fleet.numbers = &config.Numbering{File: r.file}
 	r.testServer = r.fleet.startServer(t, "n0", r.dir, new(atomic.Int64))
-	r.caller = dialJSONCaller(t, r.jsonAddress(), r.log, "aaaaaaaa")
+	r.caller = dialJSONCaller(t, r.jsonAddress(), r.answers, "aaaaaaaa")
 	return r
 }
 
@@ -102,8 +102,8 @@
 	})
 }
 
-// reloadBadTable checks that reloading an invalid table changes nothing.
-func (r *tableRun) reloadBadTable() {
+// reloadInvalidTable checks that reloading an invalid table changes nothing.
+func (r *tableRun) reloadInvalidTable() {
 	r.t.Helper()
 	writeFile(r.t, r.file, "default = \"none\"")
 	before := r.versions()
@@ -154,7 +154,7 @@
 	t.Parallel()
 	r := startTableRun(t)
 	attemptsTo := r.fleet.observations.attemptsTo
-	if got := r.log.await(t, r.caller.setUp("911", 4*time.Second), 1); got != "end 17" {
+	if got := r.answers.await(t, r.caller.setUp("911", 4*time.Second), 1); got != "end 17" {
 		t.Errorf("a call to a barred number: got %q", got)
 	}
 	const number = "100"
@@ -165,13 +165,13 @@
 		number := fmt.Sprint("20", i)
 		key := r.caller.setUp(number, 8*time.Second)
 		eventually(t, "the call is at an exchange or rejected", func() bool {
-			return attemptsTo(number) >= 1 || r.log.of(key) != ""
+			return attemptsTo(number) >= 1 || r.answers.of(key) != ""
 		})
 	}
 	if r.callsOf(0) == 0 || r.callsOf(1) == 0 {
 		t.Errorf("versions used by calls: %+v", r.versions())
 	}
-	r.reloadBadTable()
+	r.reloadInvalidTable()
 	// The connection of the first call is closed as unresponsive, which also happens when this test runs slowly. The
 	// call is tried again, using the table that it began with.
 	before := attemptsTo(number)
@@ -219,8 +219,8 @@
 	return path
 }
 
-// ask sends a command to the admin address.
-func (r *versionRun) ask(c *h248.Command) ([]numbering.VersionStatus, numbering.Job, error) {
+// send sends a command to the admin address.
+func (r *versionRun) send(c *h248.Command) ([]numbering.VersionStatus, numbering.Job, error) {
 	reply, err := adminapi.Send(context.Background(), r.adminAddress(), c)
 	if err != nil {
 		return nil, numbering.Job{}, err
@@ -232,7 +232,7 @@
 // list returns the versions that the server holds and the job of the last command.
 func (r *versionRun) list() ([]numbering.VersionStatus, numbering.Job) {
 	r.t.Helper()
-	versions, job, err := r.ask(adminapi.AuditCommand(adminapi.NumberingTermination))
+	versions, job, err := r.send(adminapi.AuditCommand(adminapi.NumberingTermination))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -251,20 +251,20 @@
 	return digest
 }
 
-// inForce returns the digest of the active version.
-func (r *versionRun) inForce() string {
+// activeDigest returns the digest of the active version.
+func (r *versionRun) activeDigest() string {
 	return r.digestWhere(func(v numbering.VersionStatus) bool { return v.State == numbering.StateActive })
 }
 
-// waiting returns the digest of the version that is scheduled for activation.
-func (r *versionRun) waiting() string {
+// scheduledDigest returns the digest of the version that is scheduled for activation.
+func (r *versionRun) scheduledDigest() string {
 	return r.digestWhere(func(v numbering.VersionStatus) bool { return v.State == numbering.StateScheduled })
 }
 
-// order sends a command and waits until its job has ended.
-func (r *versionRun) order(o numbering.Command) numbering.Job {
+// runCommand sends a command and waits until its job has ended.
+func (r *versionRun) runCommand(o numbering.Command) numbering.Job {
 	r.t.Helper()
-	_, begun, err := r.ask(adminapi.NumberingCommand(o))
+	_, begun, err := r.send(adminapi.NumberingCommand(o))
 	if err != nil {
 		return numbering.Job{Error: err.Error()}
 	}
@@ -280,27 +280,27 @@
 // digests of both.
 func (r *versionRun) changeVersions() (first, second string) {
 	r.t.Helper()
-	first = r.inForce()
+	first = r.activeDigest()
 	bad := numbering.Command{Op: numbering.OpLoad, File: r.writeRules("bad.toml", "default = \"none\"")}
-	if job := r.order(bad); !strings.Contains(job.Error, "there is no route") {
+	if job := r.runCommand(bad); !strings.Contains(job.Error, "there is no route") {
 		r.t.Errorf("loading an invalid file: %+v", job)
 	}
 	load := numbering.Command{Op: numbering.OpLoad, File: r.writeRules("second.toml", numberRules(1))}
-	loaded := r.order(load)
+	loaded := r.runCommand(load)
 	second = loaded.Digest
-	if loaded.Error != "" || second == "" || r.inForce() != first {
-		r.t.Fatalf("loading a version: %+v; active version %s", loaded, r.inForce())
+	if loaded.Error != "" || second == "" || r.activeDigest() != first {
+		r.t.Fatalf("loading a version: %+v; active version %s", loaded, r.activeDigest())
 	}
-	job := r.order(numbering.Command{Op: numbering.OpActivate, Digest: second, ExpectedActive: first})
-	if job.Error != "" || r.inForce() != second {
-		r.t.Fatalf("activating a version: %+v; active version %s", job, r.inForce())
+	job := r.runCommand(numbering.Command{Op: numbering.OpActivate, Digest: second, ExpectedActive: first})
+	if job.Error != "" || r.activeDigest() != second {
+		r.t.Fatalf("activating a version: %+v; active version %s", job, r.activeDigest())
 	}
-	job = r.order(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: first})
-	if !strings.Contains(job.Error, "not the one you saw") || r.inForce() != second {
+	job = r.runCommand(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: first})
+	if !strings.Contains(job.Error, "not the one you saw") || r.activeDigest() != second {
 		r.t.Errorf("an activation with an outdated expected version: %+v", job)
 	}
 	inAnHour := time.Duration(time.Now().Add(time.Hour).UnixNano())
-	job = r.order(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: second, ActivateAt: inAnHour})
+	job = r.runCommand(numbering.Command{Op: numbering.OpActivate, Digest: first, ExpectedActive: second, ActivateAt: inAnHour})
 	if job.Error != "" {
 		r.t.Errorf("scheduling a version: %+v", job)
 	}
@@ -310,11 +310,11 @@
 	return first, second
 }
 
-// checkInvalidOrders checks that empty commands and commands on the gateway address are rejected.
-func (r *versionRun) checkInvalidOrders() {
+// checkInvalidCommands checks that empty commands and commands on the gateway address are rejected.
+func (r *versionRun) checkInvalidCommands() {
 	r.t.Helper()
 	empty := &h248.Command{Name: "Modify", Termination: adminapi.NumberingTermination}
-	if _, _, err := r.ask(empty); err == nil {
+	if _, _, err := r.send(empty); err == nil {
 		r.t.Error("an empty command was accepted")
 	}
 	cancel := adminapi.NumberingCommand(numbering.Command{Op: numbering.OpCancel})
@@ -333,8 +333,8 @@
 	r.start()
 }
 
-// tearState truncates the latest stored state to half of its length.
-func (r *versionRun) tearState() {
+// truncateState truncates the latest stored state to half of its length.
+func (r *versionRun) truncateState() {
 	r.t.Helper()
 	files, err := filepath.Glob(filepath.Join(r.fleet.numbers.State, stateName+"-*"))
 	if err != nil || len(files) < 2 {
@@ -368,26 +368,26 @@
 	t.Parallel()
 	r := startVersionRun(t)
 	first, second := r.changeVersions()
-	r.checkInvalidOrders()
+	r.checkInvalidCommands()
 
 	r.restartAfterKill()
-	if r.inForce() != second || r.waiting() != first {
+	if r.activeDigest() != second || r.scheduledDigest() != first {
 		versions, _ := r.list()
 		t.Errorf("after a kill: %+v", versions)
 	}
-	if job := r.order(numbering.Command{Op: numbering.OpCancel}); job.Error != "" {
+	if job := r.runCommand(numbering.Command{Op: numbering.OpCancel}); job.Error != "" {
 		t.Errorf("canceling the scheduled version: %+v", job)
 	}
-	job := r.order(numbering.Command{Op: numbering.OpRollback, ExpectedActive: second})
-	if job.Error != "" || r.inForce() != first {
-		t.Errorf("rolling back: %+v; active version %s", job, r.inForce())
+	job := r.runCommand(numbering.Command{Op: numbering.OpRollback, ExpectedActive: second})
+	if job.Error != "" || r.activeDigest() != first {
+		t.Errorf("rolling back: %+v; active version %s", job, r.activeDigest())
 	}
 	r.stop(t)
 
 	// The latest state is truncated, so the one before is restored, in which the second version was active.
-	r.tearState()
+	r.truncateState()
 	r.start()
-	if got := r.inForce(); got != second {
+	if got := r.activeDigest(); got != second {
 		t.Errorf("with a truncated state %s is the active version", got)
 	}
 	r.stop(t)
@@ -396,7 +396,7 @@
 	// active.
 	r.damageRules(second)
 	r.start()
-	if got := r.inForce(); got != first {
+	if got := r.activeDigest(); got != first {
 		t.Errorf("with damaged rules %s is the active version", got)
 	}
 	r.stop(t)
--- a/internal/server/testserver_test.go
+++ b/internal/server/testserver_test.go
@@ -153,7 +153,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting until: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
