--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -7,10 +7,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// A sampleField numbers a count of a serverSample: its bit in the mask that says which counts follow.
+// A sampleField is the number of a count of a serverSample and its bit in the mask of the counts that follow.
 type sampleField int
 
-// Fields of a sample in their order in a message.
+// Fields of a sample, in wire order.
 const (
 	fieldOffered     sampleField = 0 // the first of priorityCount fields
 	fieldOverflow                = fieldOffered + priorityCount
@@ -19,16 +19,16 @@
 	sampleFieldCount             = fieldWait + 1
 )
 
-// sampleOverloadedBit is the bit of the mask that says that the server is overloaded.
+// sampleOverloadedBit is the mask bit of an overloaded server.
 const sampleOverloadedBit = 7
 
-// Lengths of parts of a message in bytes.
+// Encoded lengths in bytes.
 const (
 	serverKeyBytes      = 3
 	maxServerLimitBytes = 8
 )
 
-// field returns the count with a number.
+// field returns a pointer to the count of a field.
 func (s *serverSample) field(f sampleField) *int {
 	switch f {
 	case fieldOverflow:
@@ -54,7 +54,8 @@
 	return append(b, byte(key>>16), byte(key>>8), byte(key))
 }
 
-// append appends the encoded report. Samples that do not fit are left out: the important ones must come first.
+// append appends the encoded report. Samples that do not fit are omitted, so the
+// most important ones must come first.
 func (r *loadReport) append(b []byte) []byte {
 	b = r.messageHeader.append(b)
 	overloaded := uint64(0)
@@ -91,8 +92,8 @@
 	return b
 }
 
-// append appends the encoded update. Limits that do not fit are left out: there each member relies on its own
-// evidence.
+// append appends the encoded update. Limits that do not fit are omitted; for those servers each member relies on
+// its own measurements.
 func (u *limitUpdate) append(b []byte) []byte {
 	b = u.messageHeader.append(b)
 	b = protowire.AppendVarint(b, uint64(u.aliveMembers))
@@ -107,7 +108,7 @@
 	return b
 }
 
-// append appends the encoded digest. Members that do not fit are left out.
+// append appends the encoded digest. Members that do not fit are omitted.
 func (d *membershipDigest) append(b []byte) []byte {
 	b = d.messageHeader.append(b)
 	b = protowire.AppendVarint(b, uint64(d.aliveMembers))
@@ -117,26 +118,26 @@
 }
 
 // decode decodes a message. It returns an error that wraps ErrTooLong, ErrTruncated, ErrUnsupported or
-// ErrOutOfRange; nothing of such a message is used.
+// ErrOutOfRange and no message.
 func decode(b []byte) (message, error) {
 	if len(b) > MaxMessageBytes {
-		return nil, fmt.Errorf("share: %w: %d bytes, %d at most", ErrTooLong, len(b), MaxMessageBytes)
+		return nil, fmt.Errorf("overload: %w: %d bytes, at most %d are allowed", ErrTooLong, len(b), MaxMessageBytes)
 	}
 	r := &messageReader{rest: b}
 	m := r.readMessage()
 	if r.err != nil {
-		return nil, fmt.Errorf("share: %w", r.err)
+		return nil, fmt.Errorf("overload: %w", r.err)
 	}
 	return m, nil
 }
 
-// A messageReader reads the values of a message. After an error it reads zeros.
+// A messageReader reads the values of a message. After an error it returns zeros.
 type messageReader struct {
 	rest []byte // not yet read
 	err  error  // the first error
 }
 
-// fail records the first error and drops the rest of the message.
+// fail records the first error and discards the rest of the message.
 func (r *messageReader) fail(err error) {
 	if r.err == nil {
 		r.err = err
@@ -174,7 +175,7 @@
 	return uint32(high)<<16 | uint32(middle)<<8 | uint32(low)
 }
 
-// readMessage reads a message of any kind. The message is valid only if r.err is nil.
+// readMessage reads a message of any kind. The result is valid only if r.err is nil.
 func (r *messageReader) readMessage() message {
 	first := r.readByte()
 	if r.err == nil && first>>4 != protocolVersion {
--- a/internal/overload/codec_test.go
+++ b/internal/overload/codec_test.go
@@ -35,17 +35,17 @@
 	var senderError *SenderError
 	err := m.Receive(1000*second, 2, report.append(nil))
 	if !errors.As(err, &senderError) || *senderError != (SenderError{Claimed: 1, Actual: 2}) {
-		t.Errorf("a report of 1 that came from 2: error %v", err)
+		t.Errorf("a report that names 1 but was sent by 2: error %v", err)
 	}
 	if err := m.Receive(1000*second, -1, report.append(nil)); err != nil {
 		t.Errorf("a report from an unknown address: %v", err)
 	}
 	if m.Misattributed != 1 {
-		t.Errorf("%d datagrams count as misattributed, want 1", m.Misattributed)
+		t.Errorf("%d datagrams were counted as misattributed, want 1", m.Misattributed)
 	}
 }
 
-// FuzzDecode checks that whatever can be decoded is encoded and decoded to the same message.
+// FuzzDecode checks that every message that can be decoded survives encoding and decoding again.
 func FuzzDecode(f *testing.F) {
 	report := loadReport{
 		messageHeader: messageHeader{kind: kindLoadReport, sender: 3, incarnation: 1_700_000_000, sequence: 9},
@@ -81,7 +81,7 @@
 		}
 		encoded := decoded.append(nil)
 		if len(encoded) > MaxMessageBytes {
-			t.Fatalf("encoded to %d bytes, %d at most", len(encoded), MaxMessageBytes)
+			t.Fatalf("encoded to %d bytes, want at most %d", len(encoded), MaxMessageBytes)
 		}
 		decodedAgain, err := decode(encoded)
 		if err != nil {
@@ -89,7 +89,7 @@
 		}
 		mayBeCut := len(encoded) >= MaxMessageBytes-20
 		if !mayBeCut && !reflect.DeepEqual(decoded, decodedAgain) {
-			t.Fatalf("%+v was encoded and %+v decoded", decoded, decodedAgain)
+			t.Fatalf("encoded %+v, decoded %+v", decoded, decodedAgain)
 		}
 	})
 }
--- a/internal/overload/options.go
+++ b/internal/overload/options.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// A Time is a reading of the controller's own clock. Clocks of different controllers need not agree.
+// A Time is a reading of the controller's own clock. The clocks of controllers need not be synchronized.
 type Time = time.Duration
 
-// neverDue is a deadline that does not come.
+// neverDue is a deadline that is never reached.
 const neverDue = Time(1 << 62)
 
-// Defaults of Options. Above membersPerInterval controllers the report interval grows in proportion.
+// Defaults of Options. With more than membersPerInterval controllers the report interval grows in proportion to their
+// number.
 const (
 	defaultReportInterval    = 500 * time.Millisecond
 	membersPerInterval       = 600
@@ -21,30 +22,30 @@
 	defaultAggregatorTerm    = 2 * time.Minute
 )
 
-// Options of a Member.
+// Options configure a Member.
 type Options struct {
-	Self              int    // number of this controller, from 0 on
-	Controllers       int    // number of controllers, this one included; 1 to 1600
-	Incarnation       uint32 // greater at each start of the controller
-	Seed              uint64 // of random numbers
-	LatencyThreshold  Time   // set-up time from which the admission module calls an answer late
-	ReportInterval    Time   // between load reports during an overload; 0: 500 ms, longer for more than 600 controllers
-	HeartbeatInterval Time   // between load reports in calm; 0: 10 s
-	AggregatorTerm    Time   // for which an aggregator is selected; 0: 2 min
+	Self              int    // number of this controller, from 0
+	Controllers       int    // number of controllers including this one, 1 to 1600
+	Incarnation       uint32 // must increase with each start of the controller
+	Seed              uint64 // of the random number generator
+	LatencyThreshold  Time   // set-up time from which the admission module considers an answer late
+	ReportInterval    Time   // between load reports in an overload; 0: 500 ms, more above 600 controllers
+	HeartbeatInterval Time   // between load reports in the absence of overload; 0: 10 s
+	AggregatorTerm    Time   // time for which an aggregator is selected; 0: 2 min
 }
 
-// Check sets the defaults and returns an error if an option is out of range.
+// Check replaces zero values with their defaults and returns an error if an option is out of range.
 func (o *Options) Check() error {
 	switch {
 	case o.Controllers < 1 || o.Controllers > maxMembers:
-		return fmt.Errorf("share: %d controllers, 1 to %d are possible", o.Controllers, maxMembers)
+		return fmt.Errorf("overload: number of controllers %d is not between 1 and %d", o.Controllers, maxMembers)
 	case o.Self < 0 || o.Self >= o.Controllers:
-		return fmt.Errorf("share: controller number %d is not below the number of controllers, %d",
+		return fmt.Errorf("overload: controller number %d is negative or not less than the number of controllers, %d",
 			o.Self, o.Controllers)
 	case o.LatencyThreshold <= 0:
-		return errors.New("share: the latency threshold is not positive")
+		return errors.New("overload: latency threshold must be positive")
 	case min(o.ReportInterval, o.HeartbeatInterval, o.AggregatorTerm) < 0:
-		return errors.New("share: an interval is negative")
+		return errors.New("overload: intervals must not be negative")
 	}
 	reportInterval := max(defaultReportInterval, defaultReportInterval*Time(o.Controllers)/membersPerInterval)
 	o.ReportInterval = cmp.Or(o.ReportInterval, reportInterval)
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// limitLifetime is how long a limit update holds. It spans several updates, of which some may be lost.
+// limitLifetime returns how long a limit update is valid. It spans several updates, as some of them may be lost.
 func (o *Options) limitLifetime() Time {
 	return max(minLimitLifetime, limitLifetimePeriods*o.ReportInterval)
 }
