--- a/internal/overload/membership.go
+++ b/internal/overload/membership.go
@@ -2,47 +2,47 @@
 
 import "math"
 
-// A MemberStatus is what an aggregator concludes about a member from its reports.
+// A MemberStatus is the state of a member as an aggregator derives it from the member's reports.
 type MemberStatus int
 
 // States of a member.
 const (
-	Unknown MemberStatus = iota // has never reported: it may run a version without overload control
+	Unknown MemberStatus = iota // has never reported; it may run a version without overload control
 	Alive
-	Suspect // silent for longer than lost datagrams explain
-	Dead    // counts as gone until it reports again
+	Suspect // has not reported for longer than lost datagrams explain
+	Dead    // considered down until it reports again
 )
 
-// String returns the name that olivectl prints.
+// String returns the name of the state as olivectl prints it.
 func (s MemberStatus) String() string {
 	return [...]string{"unheard", "live", "suspected", "dead"}[s]
 }
 
-// Bounds of a member's silence, in heartbeat intervals. Two reports lost in a row do not make a member suspect
-// where three datagrams in ten are lost.
+// Times without a report after which a member is suspect or dead, in heartbeat intervals. At a loss rate of three
+// datagrams in ten, two consecutive lost reports do not make a member suspect.
 const (
 	suspectHeartbeats = 2.5
 	deadHeartbeats    = 4
 )
 
-// lossWindow is the number of reports over which the share of lost ones is estimated.
+// lossWindow is the number of reports over which the loss rate is estimated.
 const lossWindow = 32
 
-// maxUnseenShare bounds the share of living members that an estimate assumes to be unseen because of loss.
+// maxUnseenShare bounds the share of living members that an estimate assumes to be missed because of packet loss.
 const maxUnseenShare = 0.9
 
-// A memberRecord is all that an aggregator keeps of a member.
+// A memberRecord is the state that an aggregator keeps for a member.
 type memberRecord struct {
 	incarnation    uint32
 	sequence       uint32 // of the latest report
 	overloadedAt   Time   // when it last reported an overloaded server; 0: never
 	lastReportAt   Time   // 0: never
 	received, lost float64
-	lastReport     *loadReport // nil: it reported nothing or the report has expired
+	lastReport     *loadReport // nil: no report yet, or it has expired
 }
 
-// accept stores a report and returns true, unless the report is a duplicate, overtaken or from an earlier
-// incarnation. An earlier incarnation is accepted only from a member that counts as dead: its clock, which numbers
+// accept stores a report and returns true, unless the report is a duplicate, out of order or from an earlier
+// incarnation. An earlier incarnation is accepted only from a member that is considered dead: its clock, which numbers
 // incarnations, was set back.
 func (r *memberRecord) accept(now Time, report *loadReport, heartbeatInterval Time) bool {
 	isSilent := r.lastReportAt == 0 || now-r.lastReportAt > Time(deadHeartbeats*float64(heartbeatInterval))
@@ -61,7 +61,8 @@
 	return true
 }
 
-// countLoss counts a received report and those missed before it. Missing more than lossWindow is a silence, no loss.
+// countLoss counts a received report and those missed before it. A gap of lossWindow reports or more is an outage of
+// the member and does not count as loss.
 func (r *memberRecord) countLoss(missed uint32) {
 	if missed < lossWindow {
 		r.lost += float64(missed)
@@ -73,7 +74,7 @@
 	}
 }
 
-// status is the member's state at a time.
+// status returns the member's state at a time.
 func (r *memberRecord) status(now, heartbeatInterval Time) MemberStatus {
 	if r.lastReportAt == 0 {
 		return Unknown
@@ -88,7 +89,7 @@
 	return Dead
 }
 
-// lossShare is the share of the member's reports that were lost.
+// lossShare returns the share of the member's reports that were lost.
 func (r *memberRecord) lossShare() float64 {
 	if total := r.received + r.lost; total > 0 {
 		return r.lost / total
@@ -96,8 +97,8 @@
 	return 0
 }
 
-// estimateAlive estimates how many members are alive: those that reported within suspectHeartbeats, and a share
-// for those whose reports were lost that follows from the measured loss.
+// estimateAlive estimates the number of living members: those that reported within suspectHeartbeats, corrected by the
+// measured loss rate for those whose reports were all lost.
 func estimateAlive(members []memberRecord, now, heartbeatInterval Time) float64 {
 	seen, received, lost := 0, 0.0, 0.0
 	for i := range members {
@@ -112,13 +113,13 @@
 	if received > 0 {
 		loss = lost / (received + lost)
 	}
-	// A member sends two or three reports within suspectHeartbeats, either with the same probability.
+	// A member sends two or three reports within suspectHeartbeats, with equal probability.
 	unseen := (math.Pow(loss, math.Floor(suspectHeartbeats)) + math.Pow(loss, math.Ceil(suspectHeartbeats))) / 2
 	return min(float64(seen)/(1-min(unseen, maxUnseenShare)), float64(len(members)))
 }
 
-// memberBits returns a set of the members that are not dead, one bit each. Members that never reported are in it:
-// they may report to another aggregator and would not be found again otherwise.
+// memberBits returns a bit set of the members that are not dead. It includes members that have never reported: they may
+// report to another aggregator, and could not be selected again otherwise.
 func memberBits(members []memberRecord, now, heartbeatInterval Time) []byte {
 	b := make([]byte, bitsetBytes(len(members)))
 	for i := range members {
@@ -129,33 +130,33 @@
 	return b
 }
 
-// bitsetBytes is the length of a set of n bits.
+// bitsetBytes returns the length in bytes of a set of n bits.
 func bitsetBytes(n int) int { return (n + 7) / 8 }
 
 func setBit(b []byte, i int) { b[i/8] |= 1 << (i % 8) }
 
 func hasBit(b []byte, i int) bool { return i/8 < len(b) && b[i/8]>>(i%8)&1 == 1 }
 
-// A membershipView is what a member knows of the others by the latest membership digest or limit update.
+// A membershipView is what a member knows about the others from the latest membership digest or limit update.
 type membershipView struct {
 	members      []byte // set of the members that are not dead; nil: all may be alive
 	aliveMembers int
-	peakMembers  int // the most that were alive in the last minutes; 0: unknown
+	peakMembers  int // highest number of living members in the last minutes; 0: unknown
 }
 
-// mayBeAlive says whether a member is not known to be dead.
+// mayBeAlive reports whether a member may be alive, which is if it is not known to be dead.
 func (v *membershipView) mayBeAlive(number int) bool {
 	return v.members == nil || hasBit(v.members, number)
 }
 
-// markAlive notes that a member was heard.
+// markAlive records that a message from a member was received.
 func (v *membershipView) markAlive(number int) {
 	if v.members != nil {
 		setBit(v.members, number)
 	}
 }
 
-// apply takes over a digest in a group of a number of members.
+// apply stores a digest. Bits that it lacks for a group of the given number of members are set to 0.
 func (v *membershipView) apply(d *membershipDigest, members int) {
 	v.aliveMembers = d.aliveMembers
 	v.peakMembers = d.peakMembers
--- a/internal/overload/weights.go
+++ b/internal/overload/weights.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Bounds of the weight of a single report. Shares are ratios of sums, so clipping busy members reduces numerator and
-// denominator alike.
+// Bounds of the weight of a single report. Throttle shares are ratios of sums, so clipping a busy member reduces
+// numerator and denominator alike.
 const (
-	maxRelativeWeight = 1.5 // a member counts as this many times the median member at most
-	minClippedRate    = 1.0 // events a second that a member may report without being clipped
+	maxRelativeWeight = 1.5 // maximum weight of a member relative to the median member
+	minClippedRate    = 1.0 // events per second up to which a member is never clipped
 )
 
-// clipWeights returns the factor by which each member's counts are reduced, so that a few members that report false
-// or excessive counts cannot dominate the sums.
+// clipWeights returns the factor by which the counts of each member are scaled down, so that a few members that report
+// false or excessive counts cannot dominate the sums.
 func (a *aggregator) clipWeights(now Time) []float64 {
 	rates := make([]float64, len(a.members))
 	var active []float64
@@ -35,7 +35,7 @@
 	return rates
 }
 
-// events is the number of set-ups or answers that the report counts, whichever is greater at each server.
+// events returns the sum over all servers of the number of set-ups or of answers, whichever is greater.
 func (r *loadReport) events() int {
 	n := 0
 	for i := range r.samples {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// setUps is the number of calls offered and of other set-ups sent.
+// setUps returns the number of calls offered plus the number of other set-ups sent.
 func (s *serverSample) setUps() int {
 	n := s.overflow
 	for _, offered := range s.offered {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// median sorts values and returns their median; 0 of none.
+// median sorts values and returns their median, or 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -67,7 +67,7 @@
 	value, weight float64
 }
 
-// weightedMedian sorts values and returns their weighted median; 0 of none.
+// weightedMedian sorts values and returns their weighted median, or 0 if there are none.
 func weightedMedian(values []weightedValue) float64 {
 	slices.SortFunc(values, func(a, b weightedValue) int { return cmp.Compare(a.value, b.value) })
 	remaining := 0.0
