--- a/internal/overload/aggregate.go
+++ b/internal/overload/aggregate.go
@@ -9,36 +9,37 @@
 
 // Parameters of aggregation.
 const (
-	maxAggregates       = 64               // servers that an aggregator keeps; the least busy are removed first
-	aggregateRetention  = 30 * time.Second // an aggregate without reports is removed after this time
-	smoothingSeconds    = 1.0              // time constant of the smoothing of rates
-	maxSmoothingSeconds = 2                // a longer gap between two aggregations counts as this long
-	minWaitSmoothing    = 0.5              // weight of a new wait against the old one, at least
-	minWaitWeight       = 0.2              // a second: weight of a wait reported for a server without other events
+	maxAggregates       = 64               // servers that an aggregator tracks; the least busy are dropped first
+	aggregateRetention  = 30 * time.Second // an aggregate without new reports is dropped after this time
+	smoothingSeconds    = 1.0              // time constant of the exponential smoothing of rates
+	maxSmoothingSeconds = 2                // upper bound of the time that one aggregation accounts for
+	minWaitSmoothing    = 0.5              // minimum weight of a newly reported wait against the previous value
+	minWaitWeight       = 0.2              // per second: weight of a wait that is reported without other events
 )
 
-// Parameters of the admitted rate. Thresholds are multiples of the latency threshold.
+// Parameters of the admitted rate. The wait parameters are multiples of the latency threshold. A limit is removed once
+// the admitted rate has exceeded the demand by headroomFactor for headroomTime.
 const (
-	waitTarget     = 0.5  // a server where calls wait for longer is overloaded
-	waitClearance  = 10.0 // the time in which the rate is set to clear the wait
-	minRateCut     = 0.25 // of the answered rate: the admitted rate is never cut below this share
-	recoveryRate   = 0.6  // a second: growth of the admitted rate while calls do not wait
-	resumeShare    = 0.9  // of the capacity: where the admitted rate restarts once the overload has ended
-	peakDecay      = 0.02 // a second: decay of the peak throughput
-	capacityDecay  = 0.10 // a second: decay of the capacity
-	minAnswerRate  = 0.5  // answers a second: a server with fewer is unresponsive; also the lowest admitted rate
-	headroomFactor = 1.02 // an admitted rate that is this many times the demand throttles nobody
-	headroomTime   = 2000 * time.Millisecond
+	waitTarget       = 0.5  // a server where calls wait longer is overloaded
+	waitClearance    = 10.0 // the rate is cut so that the wait is cleared in this time
+	minAdmittedShare = 0.25 // of the answered rate: lower bound of a cut
+	recoveryRate     = 0.6  // per second: relative growth of the rate while calls do not wait
+	resumeShare      = 0.9  // of the capacity: where the rate restarts once the overload has ended
+	peakDecay        = 0.02 // per second: relative decay of the peak throughput
+	capacityDecay    = 0.10 // per second: relative decay of the capacity
+	minAnswerRate    = 0.5  // answers per second: minimum of a responsive server and of the rate
+	headroomFactor   = 1.02 // an admitted rate of this multiple of the demand throttles no calls
+	headroomTime     = 2000 * time.Millisecond
 )
 
-// A demand is what members want from a server, as rates a second.
+// A demand holds what members request from a server and what it answers, as rates per second.
 type demand struct {
-	offered  [priorityCount]float64 // calls whose first choice it is
+	offered  [priorityCount]float64 // calls that have the server as their first choice
 	overflow float64                // other set-ups
 	answered float64
 }
 
-// totalOffered is the rate of the calls of all priorities whose first choice the server is.
+// totalOffered returns the rate of first-choice calls of all priorities.
 func (d *demand) totalOffered() (total float64) {
 	for _, rate := range d.offered {
 		total += rate
@@ -46,7 +47,7 @@
 	return total
 }
 
-// add adds the counts of a sample, each multiplied by a factor.
+// add adds the counts of a sample, scaled by a factor.
 func (d *demand) add(s *serverSample, factor float64) {
 	for priority, n := range s.offered {
 		d.offered[priority] += factor * float64(n)
@@ -55,7 +56,7 @@
 	d.answered += factor * float64(s.answered)
 }
 
-// smooth moves the rates towards others by a share of the difference.
+// smooth applies exponential smoothing: it moves each rate towards the latest one by a share of the difference.
 func (d *demand) smooth(latest *demand, share float64) {
 	for priority := range d.offered {
 		d.offered[priority] += share * (latest.offered[priority] - d.offered[priority])
@@ -64,15 +65,15 @@
 	d.answered += share * (latest.answered - d.answered)
 }
 
-// A reportedLoad is what the fresh reports say of a server.
+// A reportedLoad is the load of a server according to the reports that have not expired.
 type reportedLoad struct {
 	demand
 	waits []weightedValue // seconds
 }
 
-// add adds a sample of a report with a span in seconds and the weight of its sender. A wait has the weight of the
-// events that the sender reports for the server, so that members that report all servers all the time do not
-// outweigh those that use it.
+// add adds a sample from a report that spans the given seconds, scaled by the weight of its sender. A wait is weighted
+// by the number of events that the sender reports for the server, so that members that report every server all the
+// time do not outweigh those that use it.
 func (l *reportedLoad) add(s *serverSample, weight, seconds float64) {
 	factor := weight / seconds
 	l.demand.add(s, factor)
@@ -86,26 +87,26 @@
 	})
 }
 
-// A serverAggregate is the load of a server by the reports of all members, and the rate admitted there.
+// A serverAggregate is the load of a server across all members, and the rate at which it is sent calls.
 type serverAggregate struct {
 	key uint32
 	demand
-	wait           float64 // seconds: weighted median of the reported waits, smoothed
+	wait           float64 // seconds: smoothed weighted median of the reported waits
 	waitReports    int     // members that reported a wait
-	peakThroughput float64 // answers a second: the most while the server was not overloaded, decaying
-	capacity       float64 // answers a second: the most while it was overloaded, decaying
-	admittedRate   float64 // set-ups a second; +Inf: not limited
-	headroomSince  Time    // since when the admitted rate has exceeded the demand; 0: it does not
+	peakThroughput float64 // answers per second: decaying maximum while the server was not overloaded
+	capacity       float64 // answers per second: decaying maximum while it was overloaded
+	admittedRate   float64 // set-ups per second; +Inf: not limited
+	headroomSince  Time    // when the admitted rate began to exceed the demand; 0: it does not
 	lastReportAt   Time
 }
 
-// isLimited says whether the server's admitted rate is finite.
+// isLimited reports whether the server's admitted rate is finite.
 func (s *serverAggregate) isLimited() bool { return !math.IsInf(s.admittedRate, 1) }
 
-// wantedRate is the rate of all set-ups that members want to send to the server.
+// wantedRate returns the rate of all set-ups that members want to send to the server.
 func (s *serverAggregate) wantedRate() float64 { return s.totalOffered() + s.overflow }
 
-// aggregate updates the aggregates from the fresh reports and settles the admitted rates.
+// aggregate updates the aggregates and their admitted rates from the reports that have not expired.
 func (a *aggregator) aggregate(now Time) {
 	elapsed := min((now - a.aggregatedAt).Seconds(), maxSmoothingSeconds)
 	a.aggregatedAt = now
@@ -114,7 +115,7 @@
 	share := min(elapsed/smoothingSeconds, 1)
 	for key, s := range a.servers {
 		s.update(cmp.Or(reported[key], &reportedLoad{}), share)
-		s.settleAdmittedRate(now, elapsed, a.latencyThreshold)
+		s.updateAdmittedRate(now, elapsed, a.latencyThreshold)
 		if now-s.lastReportAt > aggregateRetention {
 			delete(a.servers, key)
 		}
@@ -122,7 +123,7 @@
 	a.prune()
 }
 
-// sumReports sums the fresh reports by server.
+// sumReports sums the unexpired reports by server.
 func (a *aggregator) sumReports(now Time) map[uint32]*reportedLoad {
 	weights := a.clipWeights(now)
 	sums := make(map[uint32]*reportedLoad)
@@ -136,7 +137,7 @@
 			sum := sums[s.key]
 			if sum == nil {
 				if len(sums) >= 2*maxAggregates {
-					continue // bounds memory against keys of servers that do not exist
+					continue // bounds memory if reports name servers that do not exist
 				}
 				sum = &reportedLoad{}
 				sums[s.key] = sum
@@ -147,7 +148,7 @@
 	return sums
 }
 
-// addServers adds an aggregate for each server that was reported for the first time.
+// addServers adds an aggregate for each newly reported server.
 func (a *aggregator) addServers(reported map[uint32]*reportedLoad, now Time) {
 	for key, load := range reported {
 		s := a.servers[key]
@@ -159,8 +160,8 @@
 	}
 }
 
-// update smooths the latest load into the aggregate, with a share between 0 and 1. Where no member reports a wait
-// it decays.
+// update smooths the latest load into the aggregate; share is the smoothing factor, between 0 and 1. The wait decays
+// if no member reports one.
 func (s *serverAggregate) update(latest *reportedLoad, share float64) {
 	s.smooth(&latest.demand, share)
 	s.waitReports = len(latest.waits)
@@ -171,10 +172,10 @@
 	}
 }
 
-// settleAdmittedRate settles the admitted rate: while calls wait for too long, the answered rate less what clears
-// the wait; afterwards a growing rate; none once it has limited nobody for headroomTime. elapsed and
-// latencyThreshold are in seconds.
-func (s *serverAggregate) settleAdmittedRate(now Time, elapsed, latencyThreshold float64) {
+// updateAdmittedRate sets the admitted rate. While calls wait too long it is the answered rate less what is needed to
+// clear the backlog; afterwards it grows; the limit is removed once it has throttled no calls for headroomTime.
+// elapsed and latencyThreshold are in seconds.
+func (s *serverAggregate) updateAdmittedRate(now Time, elapsed, latencyThreshold float64) {
 	maxTargetWait := waitTarget * latencyThreshold
 	isUnresponsive := s.waitReports > 0 && s.answered < minAnswerRate
 	isOverloaded := s.waitReports > 0 && s.wait > maxTargetWait && !isUnresponsive
@@ -183,8 +184,8 @@
 	}
 	switch {
 	case isUnresponsive:
-		// Each member relies on its own evidence there, which includes lost connections; a minimal admitted rate
-		// would outlast the outage.
+		// Each member relies on its own measurements here, which include lost connections. A minimal admitted rate
+		// would stay in force after the outage.
 		s.removeLimit()
 		s.capacity, s.wait = 0, 0
 	case isOverloaded:
@@ -194,23 +195,24 @@
 	}
 }
 
-// removeLimit admits all calls.
+// removeLimit lets all calls pass.
 func (s *serverAggregate) removeLimit() {
 	s.admittedRate = math.Inf(1)
 	s.headroomSince = 0
 }
 
-// cutRate sets the admitted rate of an overloaded server. As it is saturated, what it answers is its capacity.
+// cutRate reduces the admitted rate of an overloaded server. The server is saturated, so its answered rate is its
+// capacity.
 func (s *serverAggregate) cutRate(elapsed, maxTargetWait, clearance float64) {
 	s.capacity = max(s.capacity*(1-capacityDecay*elapsed), s.answered)
-	share := max(1-(s.wait-maxTargetWait)/clearance, minRateCut)
+	share := max(1-(s.wait-maxTargetWait)/clearance, minAdmittedShare)
 	s.admittedRate = max(s.answered*share, minAnswerRate)
 	s.headroomSince = 0
 }
 
-// recoverRate raises the admitted rate after an overload: at once to nearly the capacity, then by the margin that
-// the wait leaves. Growth follows the demand as well as the rate, so that the rates of several aggregators, each with
-// a part of the members, converge to the same share of what is offered to each.
+// recoverRate raises the admitted rate after an overload: at once to nearly the capacity, then in proportion to the
+// margin between the wait and its target. Growth depends on the demand as well as on the rate, so that several
+// aggregators, each with a part of the members, converge to the same ratio of admitted to offered calls.
 func (s *serverAggregate) recoverRate(now Time, elapsed, maxTargetWait float64) {
 	s.admittedRate = max(s.admittedRate, s.answered, resumeShare*s.capacity)
 	scale := math.Sqrt(s.admittedRate * max(s.admittedRate, s.wantedRate()))
@@ -225,7 +227,7 @@
 	}
 }
 
-// prune removes the least busy servers beyond maxAggregates.
+// prune drops the least busy servers above maxAggregates.
 func (a *aggregator) prune() {
 	if len(a.servers) <= maxAggregates {
 		return
--- a/internal/overload/aggregator.go
+++ b/internal/overload/aggregator.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// Times of an aggregator.
+// Time parameters of an aggregator.
 const (
-	minReportLifetime     = 2500 * time.Millisecond // a report counts for this long at least
-	reportLifetimePeriods = 5                       // and for this many report intervals
-	pollInterval          = 1000 * time.Millisecond // members that report rarely are asked for reports once in this
-	overloadMemory        = 3000 * time.Millisecond // frequent reports end after this time without evidence of overload
+	minReportLifetime        = 2500 * time.Millisecond // a report expires after the longer of this time
+	reportLifetimePeriods    = 5                       // and this many report intervals
+	pollInterval             = 1000 * time.Millisecond // interval at which members that report rarely are polled
+	overloadEvidenceLifetime = 3000 * time.Millisecond // evidence of overload, which causes frequent reports, expires
 )
 
-// overloadQuorum is the number of living members of which one must report an overload before all are asked for
-// frequent reports. In calm one of hundreds always meets a late answer.
+// overloadQuorum: all members are asked for frequent reports only when at least one in overloadQuorum living members
+// reports an overload. Among hundreds of members, one always sees a late answer even when no server is overloaded.
 const overloadQuorum = 50
 
-// An aggregator sums up the load reports of the members that selected this controller and settles the rate that each
-// server is sent by all of them. The mechanism is the admission module's, applied to the sums: the demand is what the
-// members offer, the limit follows what was answered to them.
+// An aggregator sums the load reports of the members that selected this controller and determines the total rate at
+// which they may send calls to each server. It applies the algorithm of the admission module to the sums: the demand
+// is what the members offer, and the limit follows the rate at which they are answered.
 type aggregator struct {
 	latencyThreshold  float64 // seconds
 	reportLifetime    Time
 	heartbeatInterval Time
 	members           []memberRecord              // by number
 	servers           map[uint32]*serverAggregate // by key
-	overloadedAt      Time                        // when enough members last had evidence of overload; 0: never
+	overloadedAt      Time                        // when a quorum of members last had evidence of overload; 0: never
 	lastReportAt      Time                        // 0: never
 	lastPollAt        Time                        // when all members were last asked for reports
 	sequence          uint32                      // of the latest limit update
 	aggregatedAt      Time
-	peakMembers       int // the most members alive, decaying with each digest
+	peakMembers       int // decaying maximum of living members; decays with each digest
 }
 
 func newAggregator(members int, latencyThreshold, heartbeatInterval, reportInterval Time) *aggregator {
@@ -43,15 +43,15 @@
 	}
 }
 
-// acceptReport stores a report and returns true, unless it is stale or its sender unknown.
+// acceptReport stores a report and returns true, or returns false if it is stale or from an unknown sender.
 func (a *aggregator) acceptReport(now Time, r *loadReport) bool {
 	if r.sender >= len(a.members) {
 		return false
 	}
 	maxSilence := Time(suspectHeartbeats * float64(a.heartbeatInterval))
 	if a.lastReportAt > 0 && now-a.lastReportAt > maxSilence {
-		// Another controller has been the aggregator in the meantime: members that were silent here may have reported
-		// there.
+		// Another controller was the aggregator in the meantime: members that sent nothing here may have reported to
+		// that one.
 		clear(a.members)
 	}
 	member := &a.members[r.sender]
@@ -68,7 +68,7 @@
 	return true
 }
 
-// hasOverloadEvidence says whether enough members have reported an overload lately.
+// hasOverloadEvidence reports whether a quorum of members has recently reported an overload.
 func (a *aggregator) hasOverloadEvidence(now Time) bool {
 	overloaded, alive := 0, 0
 	for i := range a.members {
@@ -76,17 +76,17 @@
 		if r.status(now, a.heartbeatInterval) == Alive {
 			alive++
 		}
-		if r.overloadedAt > 0 && now-r.overloadedAt < overloadMemory {
+		if r.overloadedAt > 0 && now-r.overloadedAt < overloadEvidenceLifetime {
 			overloaded++
 		}
 	}
 	return overloaded*overloadQuorum >= alive
 }
 
-// wantsFrequentReports says whether members shall report each report interval: there is evidence of overload, or
-// the admitted rate of a server is limited.
+// wantsFrequentReports reports whether members should report once per report interval: there is evidence of overload,
+// or the admitted rate of a server is limited.
 func (a *aggregator) wantsFrequentReports(now Time) bool {
-	if a.overloadedAt > 0 && now-a.overloadedAt < overloadMemory {
+	if a.overloadedAt > 0 && now-a.overloadedAt < overloadEvidenceLifetime {
 		return true
 	}
 	for _, s := range a.servers {
@@ -107,12 +107,12 @@
 	return r.lastReport
 }
 
-// estimateAlive estimates how many members are alive.
+// estimateAlive returns an estimate of the number of living members.
 func (a *aggregator) estimateAlive(now Time) float64 {
 	return estimateAlive(a.members, now, a.heartbeatInterval)
 }
 
-// nextUpdate aggregates the reports and returns the limit update that follows, without its sender.
+// nextUpdate aggregates the reports and returns the resulting limit update. The caller sets the sender.
 func (a *aggregator) nextUpdate(now Time) *limitUpdate {
 	a.aggregate(now)
 	alive := roundToInt(a.estimateAlive(now))
@@ -125,8 +125,8 @@
 	}
 }
 
-// updateRecipients returns the members that are sent a limit update now: those that report frequently, and once each
-// pollInterval all that have reported and are not dead, so that they begin to report frequently.
+// updateRecipients returns the members to send a limit update to: those that report frequently and, once per
+// pollInterval, all that have reported and are not dead, which makes them report frequently.
 func (a *aggregator) updateRecipients(now Time) []int {
 	pollsAll := now-a.lastPollAt >= pollInterval
 	if pollsAll {
@@ -147,7 +147,7 @@
 	return recipients
 }
 
-// nextDigest returns the membership digest, without its sender; nil if no member reports.
+// nextDigest returns the membership digest, or nil if no member reports. The caller sets the sender.
 func (a *aggregator) nextDigest(now Time) *membershipDigest {
 	estimate := a.estimateAlive(now)
 	if estimate < 1 {
@@ -163,10 +163,10 @@
 	}
 }
 
-// roundToInt rounds a number that is not negative.
+// roundToInt rounds a non-negative number to the nearest integer.
 func roundToInt(x float64) int { return int(x + 0.5) }
 
-// sendLimitUpdates sends the limits to the members that report to this controller, and applies them if it is its
+// sendLimitUpdates sends the limits to the members that report to this controller, and applies them here if it is its
 // own aggregator.
 func (m *Member) sendLimitUpdates(now Time) {
 	if !m.aggregator.wantsFrequentReports(now) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// sendMembershipDigest sends the membership digest to the members that are alive.
+// sendMembershipDigest sends the membership digest to the living members.
 func (m *Member) sendMembershipDigest(now Time) {
 	digest := m.aggregator.nextDigest(now)
 	if digest == nil {
@@ -201,7 +201,7 @@
 	}
 }
 
-// setSender names this controller as the sender of a message.
+// setSender sets this controller as the sender of a message.
 func (m *Member) setSender(h *messageHeader) {
 	h.sender = m.options.Self
 	h.incarnation = m.options.Incarnation
--- a/internal/overload/limits.go
+++ b/internal/overload/limits.go
@@ -6,13 +6,13 @@
 	"olivedale/internal/admission"
 )
 
-// A limit update holds for minLimitLifetime and for limitLifetimePeriods report intervals at least.
+// A limit update is valid for minLimitLifetime or limitLifetimePeriods report intervals, whichever is longer.
 const (
 	minLimitLifetime     = 2000 * time.Millisecond
 	limitLifetimePeriods = 4
 )
 
-// currentLimits are the limits of the latest update.
+// currentLimits holds the limits of the latest update.
 type currentLimits struct {
 	latest      []serverLimit
 	until       Time   // when they expire
@@ -30,9 +30,10 @@
 	return serverLimit{}, false
 }
 
-// isNewer says whether an update counts as sent after the latest one. An earlier incarnation does once the limits have
-// expired: the aggregator's clock, which numbers incarnations, was set back, or the later one was never its own. Its
-// updates would otherwise be stale until the end of the term, while its digests keep it selected.
+// isNewer reports whether an update supersedes the latest one. Once the limits have expired, one of an earlier
+// incarnation does as well: either the aggregator's clock, which numbers incarnations, was set back, or the later
+// incarnation was forged. The aggregator's updates would otherwise be rejected as stale until the end of the term,
+// while its digests keep it selected.
 func (c *currentLimits) isNewer(now Time, u *limitUpdate) bool {
 	if u.incarnation != c.incarnation {
 		return u.incarnation > c.incarnation || now >= c.until
@@ -40,29 +41,29 @@
 	return u.sequence > c.sequence
 }
 
-// throttleChances returns the probabilities of throttling a call at its first choice, by priority.
-func (l *serverLimit) throttleChances() (chances [priorityCount]float64) {
-	for priority := range chances {
+// throttleProbabilities returns the probabilities of throttling a call at its first choice, by priority.
+func (l *serverLimit) throttleProbabilities() (probabilities [priorityCount]float64) {
+	for priority := range probabilities {
 		switch {
 		case priority < l.priority && l.throttle > 0:
-			chances[priority] = maxThrottle / float64(maxShare)
+			probabilities[priority] = maxThrottle / float64(maxShare)
 		case priority == l.priority:
-			chances[priority] = float64(l.throttle) / maxShare
+			probabilities[priority] = float64(l.throttle) / maxShare
 		}
 	}
-	return chances
+	return probabilities
 }
 
-// overflowChance returns the probability of throttling a set-up that is not a call's first choice.
-func (l *serverLimit) overflowChance() float64 { return float64(l.overflowThrottle) / maxShare }
+// overflowProbability returns the probability of throttling a set-up that is not a call's first choice.
+func (l *serverLimit) overflowProbability() float64 { return float64(l.overflowThrottle) / maxShare }
 
-// throttlesFirstChoices says whether calls are throttled at their first choice.
+// throttlesFirstChoices reports whether calls are throttled at their first choice.
 func (l *serverLimit) throttlesFirstChoices() bool { return l.priority != 0 || l.throttle != 0 }
 
-// claimedWait is the set-up time that the aggregator claims for the server.
+// claimedWait returns the set-up time that the aggregator claims for the server.
 func (l *serverLimit) claimedWait() Time { return durationOf(l.wait) }
 
-// claimsOverload says whether the aggregator claims that calls wait for longer than the target.
+// claimsOverload reports whether the claimed wait exceeds half the target wait (waitTarget).
 func (l *serverLimit) claimsOverload(latencyThreshold Time) bool {
 	return l.claimedWait() > Time(waitTarget/2*float64(latencyThreshold))
 }
@@ -76,20 +77,20 @@
 	if v == nil || !v.hasLimit(now) {
 		return "", false
 	}
-	chance := v.limit.overflowChance()
+	probability := v.limit.overflowProbability()
 	if isFirstChoice {
 		if !v.limit.throttlesFirstChoices() && !v.limit.claimsOverload(m.options.LatencyThreshold) {
-			return "", false // the limit is about overflow only
+			return "", false // the limit applies to overflow only
 		}
 		if isPriority(priority) {
-			chance = v.limit.throttleChances()[priority]
+			probability = v.limit.throttleProbabilities()[priority]
 		}
 	}
 	if !m.isOwnAggregator() && !m.trust.isEstablished() {
-		// An aggregator that throttled all calls falsely would prevent the answers that refute it.
-		chance = min(chance, maxUntrustedThrottle)
+		// If a faulty aggregator could throttle all calls, no answers would be left that show that it is wrong.
+		probability = min(probability, maxUntrustedThrottle)
 	}
-	if m.rng.Float64() < chance {
+	if m.rng.Float64() < probability {
 		m.Throttled++
 		v.throttled++
 		return admission.ReasonFleetThrottle, true
@@ -98,17 +99,17 @@
 	return "", true
 }
 
-// applyLimits replaces all limits by those of an update.
+// applyLimits replaces all limits with those of an update.
 func (m *Member) applyLimits(now Time, u *limitUpdate) {
 	lifetime := m.options.limitLifetime()
 	wasRequested := m.reporting.requestedAt != 0 && now-m.reporting.requestedAt <= lifetime
 	if !wasRequested {
-		// The next report is sent within a report interval, at a random time so that not all are sent together.
+		// The next report is sent at a random time within a report interval, so that members do not report at once.
 		delay := Time(m.rng.Float64() * float64(m.options.ReportInterval))
 		m.reporting.next = min(m.reporting.next, now+delay)
 	}
 	m.reporting.requestedAt = now
-	m.selection.noteHeard(now)
+	m.selection.recordContact(now)
 	m.membership.aliveMembers = u.aliveMembers
 	m.servers.removeLimits()
 	m.limits.latest = u.limits
--- a/internal/overload/member.go
+++ b/internal/overload/member.go
@@ -1,13 +1,14 @@
-// Package overload is distributed overload control between call controllers. Each controller, a member, measures the
-// load and the set-up time of the servers and sends load reports to one of the members, its aggregator. The
-// aggregator sums them up, settles how much all members together may send to each server, and answers with limit
-// updates: throttle probabilities by priority. Each member throttles its calls at random by these. There is no
-// election: a member selects the first living member by rendezvous hashing, applies the limits of that one only,
-// and ejects it if it is silent or if its limits contradict the member's own measurements.
+// Package overload implements distributed overload control between call controllers. Each controller, called a member,
+// measures the load and the set-up time of the servers and sends load reports to one of the members, its aggregator.
+// The aggregator sums the reports, determines how much all members together may send to each server, and answers with
+// limit updates: throttle probabilities by priority. Each member throttles its calls at random with these
+// probabilities. There is no election: a member selects the first living member by rendezvous hashing, applies the
+// limits of that one only, and ejects it if it is unresponsive or if its limits contradict the member's own
+// measurements.
 //
-// The package owns membership, aggregation and the throttle probabilities. It has no socket and no clock: datagrams,
-// measurements and the time are passed in, datagrams are returned. It never selects a server: the admission module
-// asks it about servers that its own list and evidence permit.
+// The package handles membership, aggregation and the throttle probabilities. It has no socket and no clock: datagrams,
+// measurements and the time are passed in, and datagrams to send are returned. It never selects a server: the
+// admission module asks it only about servers that the admission module itself considers eligible.
 package overload
 
 import (
@@ -15,30 +16,30 @@
 	"time"
 )
 
-// maxClockJump is the longest gap between two readings of the clock. After a longer one the member has been
-// suspended, and its measurements are void.
+// maxClockJump is the longest regular gap between two readings of the clock. A longer gap means that the process was
+// suspended, which invalidates its measurements.
 const maxClockJump = 2000 * time.Millisecond
 
-// randomStream separates the member's random numbers from others with the same seed.
+// randomStream selects a PCG stream, which keeps the member's random numbers independent of others with the same seed.
 const randomStream = 5
 
-// Counters count what a Member did. Their JSON names are those of State.
+// Counters count the events of a Member. Like those of State, their JSON names are part of the output format.
 type Counters struct {
 	Sent                    int `json:"Said"` // datagrams
 	SentBytes               int `json:"SaidBytes"`
 	Received                int `json:"Heard"` // datagrams
 	ReceivedBytes           int `json:"HeardBytes"`
 	Malformed               int `json:"Unread"` // datagrams that could not be decoded
-	Misattributed           int `json:"Alien"`  // datagrams from another sender than they name
-	Stale                   int // datagrams that are duplicates, overtaken or from a member that is not the aggregator
+	Misattributed           int `json:"Alien"`  // datagrams whose sender is not the one they name
+	Stale                   int // datagrams that are duplicate, out of order or not from the selected aggregator
 	Throttled               int `json:"Held"`    // calls throttled
 	Admitted                int `json:"Passed"`  // calls admitted at servers with a limit
-	AggregatorChanges       int `json:"Tellers"` // selections of another aggregator
-	AggregatorsUnresponsive int `json:"Silent"`  // aggregators ejected because they were silent
-	AggregatorsEjected      int `json:"Wrong"`   // aggregators ejected because their limits were wrong
+	AggregatorChanges       int `json:"Tellers"` // changes to another aggregator
+	AggregatorsUnresponsive int `json:"Silent"`  // aggregators ejected as unresponsive
+	AggregatorsEjected      int `json:"Wrong"`   // aggregators ejected for wrong limits
 }
 
-// A Member is one controller's part in overload control. It is not safe for concurrent use.
+// A Member runs overload control for one controller. It is not safe for concurrent use.
 type Member struct {
 	Counters
 	options    Options
@@ -51,13 +52,13 @@
 	trust      aggregatorTrust
 	membership membershipView
 
-	aggregator      *aggregator // what this controller does as an aggregator
+	aggregator      *aggregator // state of this controller in the role of an aggregator
 	nextLimitUpdate Time
 	nextDigest      Time
 	outbox          outbox
 }
 
-// New returns a Member of a controller that has just started.
+// New returns the Member of a controller that has just started.
 func New(now Time, o Options) (*Member, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 		outbox:     outbox{capacity: outboxPerMember*o.Controllers + outboxReserve},
 	}
 	m.aggregator.aggregatedAt = now
-	// Random first deadlines keep members that start together from sending together.
+	// Random initial deadlines prevent members that start together from sending in sync.
 	m.reporting.next = now + Time(m.rng.Float64()*float64(o.HeartbeatInterval)/4)
 	m.nextLimitUpdate = now + Time(m.rng.Float64()*float64(o.ReportInterval))
 	m.nextDigest = now + Time(m.rng.Float64()*float64(o.HeartbeatInterval))
@@ -82,7 +83,7 @@
 	return m, nil
 }
 
-// Tick does what is due and returns the datagrams to send.
+// Tick performs the work that is due and returns the datagrams to send.
 func (m *Member) Tick(now Time) []Datagram {
 	if m.options.Controllers == 1 {
 		return nil
@@ -108,12 +109,12 @@
 	return burst
 }
 
-// NextDeadline returns when Tick is due.
+// NextDeadline returns the time at which Tick must be called next.
 func (m *Member) NextDeadline() Time {
 	if m.options.Controllers == 1 {
 		return neverDue
 	}
-	// Tick advances the clock before a quiet time could be taken for a clock jump.
+	// Tick must run before an idle period is long enough to be taken for a clock jump.
 	next := min(m.reporting.next, m.nextDigest, m.now+maxClockJump/2)
 	if m.aggregator.wantsFrequentReports(m.now) {
 		next = min(next, m.nextLimitUpdate)
@@ -124,7 +125,7 @@
 	return next
 }
 
-// advance moves the member's clock. After a clock jump all that it measured and all limits are void.
+// advance moves the member's clock forward. A clock jump discards all measurements and limits.
 func (m *Member) advance(now Time) {
 	if now-m.now > maxClockJump {
 		m.servers.resetAll()
@@ -135,9 +136,9 @@
 	m.now = max(m.now, now)
 }
 
-// Receive processes a datagram. from is the number of the sender by its address or signature, -1 if neither
-// identifies it. It returns an error if the datagram cannot be decoded or a *SenderError if another controller
-// than the one that it names sent it; such a datagram changes nothing.
+// Receive processes a datagram. from is the number of the sender as identified by its address or signature, or -1 if
+// neither identifies it. Receive returns an error if the datagram cannot be decoded, and a *SenderError if it was sent
+// by another controller than the one it names; such a datagram has no effect.
 func (m *Member) Receive(now Time, from int, payload []byte) error {
 	m.advance(now)
 	m.Received++
@@ -154,7 +155,7 @@
 	}
 	isAggregator := received.header().kind != kindLoadReport
 	if isAggregator {
-		m.readmit(sender)
+		m.readmitBypassed(sender)
 	}
 	switch received := received.(type) {
 	case *loadReport:
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// canBeSender says whether a message that names a sender can come from a controller; -1: an unknown one.
+// canBeSender reports whether the sender that a message claims is consistent with its actual one; -1: unknown.
 func (m *Member) canBeSender(claimed, actual int) bool {
 	if actual >= 0 && claimed != actual {
 		return false
@@ -175,8 +176,8 @@
 	return claimed < m.options.Controllers && claimed != m.options.Self
 }
 
-// receiveReport processes a load report that is addressed to this controller as an aggregator. If it is the first
-// evidence of overload, limit updates begin at once.
+// receiveReport processes a load report sent to this controller as an aggregator. If the report is the first evidence
+// of overload, limit updates begin at once.
 func (m *Member) receiveReport(now Time, r *loadReport) {
 	wantedReports := m.aggregator.wantsFrequentReports(now)
 	if !m.aggregator.acceptReport(now, r) {
@@ -189,7 +190,7 @@
 	}
 }
 
-// receiveLimits applies a limit update of the selected aggregator.
+// receiveLimits applies a limit update from the selected aggregator and ignores those from others.
 func (m *Member) receiveLimits(now Time, u *limitUpdate) {
 	if u.sender != m.selection.aggregator || !m.limits.isNewer(now, u) {
 		m.Stale++
@@ -200,13 +201,13 @@
 	m.applyLimits(now, u)
 }
 
-// receiveDigest applies a membership digest of the selected aggregator.
+// receiveDigest applies a membership digest from the selected aggregator and ignores those from others.
 func (m *Member) receiveDigest(now Time, d *membershipDigest) {
 	if d.sender != m.selection.aggregator {
 		m.Stale++
 		return
 	}
-	m.selection.noteHeard(now)
+	m.selection.recordContact(now)
 	m.membership.apply(d, m.options.Controllers)
 	m.selection.invalidate()
 }
--- a/internal/overload/reporting.go
+++ b/internal/overload/reporting.go
@@ -7,42 +7,42 @@
 	"olivedale/internal/admission"
 )
 
-// reportJitter is the divisor of the report interval that gives the time over which reports are spread at random.
+// reportJitter: the time of a report varies at random over the interval divided by reportJitter.
 const reportJitter = 5
 
-// A reportSchedule says when and how often load reports are sent.
+// A reportSchedule determines when and how often load reports are sent.
 type reportSchedule struct {
 	next         Time
-	spanStart    Time   // of the next report
+	spanStart    Time   // start of the span that the next report covers
 	sequence     uint32 // of the latest report
 	overloadedAt Time   // when the member last had evidence of overload; 0: never
 	requestedAt  Time   // when a limit update last requested frequent reports; 0: never
-	nextProbe    Time   // when a bypassed member may be probed next
+	nextProbe    Time   // earliest time at which a bypassed member is probed again
 }
 
-// reset begins a new span and ends frequent reports.
+// reset starts a new span and ends frequent reports.
 func (s *reportSchedule) reset(now Time) {
 	s.spanStart = now
 	s.overloadedAt = 0
 	s.requestedAt = 0
 }
 
-// hasOverload says whether there is recent evidence of overload.
-func (s *reportSchedule) hasOverload(now Time) bool {
-	return s.overloadedAt > 0 && now-s.overloadedAt < overloadMemory
+// hasOverloadEvidence reports whether there is recent evidence of overload.
+func (s *reportSchedule) hasOverloadEvidence(now Time) bool {
+	return s.overloadedAt > 0 && now-s.overloadedAt < overloadEvidenceLifetime
 }
 
-// takeSpan returns the time since the previous report in time units, and begins a new span.
+// takeSpan returns the time since the previous report in time units and starts a new span.
 func (s *reportSchedule) takeSpan(now Time) int {
 	span := min(unitsOf(now-s.spanStart), maxWait)
 	s.spanStart = now
 	return span
 }
 
-// reportsFrequently says whether a report is sent each report interval, not each heartbeat interval.
+// reportsFrequently reports whether a load report is sent each report interval instead of each heartbeat interval.
 func (m *Member) reportsFrequently(now Time) bool {
 	isRequested := m.reporting.requestedAt > 0 && now-m.reporting.requestedAt < m.options.limitLifetime()
-	return m.reporting.hasOverload(now) || isRequested
+	return m.reporting.hasOverloadEvidence(now) || isRequested
 }
 
 // RecordOffered implements admission.OverloadControl.
@@ -54,7 +54,7 @@
 	}
 }
 
-// isPriority says whether a number is that of a priority that reports have a field for.
+// isPriority reports whether load reports have a field for a priority.
 func isPriority(number admission.Priority) bool { return number >= 0 && number < priorityCount }
 
 // RecordSent implements admission.OverloadControl.
@@ -84,7 +84,7 @@
 	}
 }
 
-// RecordOverload implements admission.OverloadControl. The first evidence of overload is reported at once.
+// RecordOverload implements admission.OverloadControl. The first evidence of overload triggers a report at once.
 func (m *Member) RecordOverload(now Time, server string) {
 	m.advance(now)
 	v := m.lookupServer(server)
@@ -114,8 +114,8 @@
 	}
 }
 
-// scheduleReport sets the time of the next report: an interval from now, give or take a tenth at random, which
-// spreads the reports of members that began together.
+// scheduleReport sets the time of the next report: an interval from now, with a random jitter of plus or minus a tenth,
+// which spreads the reports of members that started together.
 func (m *Member) scheduleReport(now Time) {
 	interval := m.options.HeartbeatInterval
 	if m.reportsFrequently(now) {
@@ -124,13 +124,13 @@
 	m.reporting.next = now + interval*9/10 + Time(m.rng.Float64()*float64(interval)/reportJitter)
 }
 
-// takeReport returns a report of what was measured since the previous one.
+// takeReport returns a report of the measurements since the previous one.
 func (m *Member) takeReport(now Time) *loadReport {
 	m.reporting.sequence++
 	report := &loadReport{
 		messageHeader: messageHeader{kind: kindLoadReport, sequence: m.reporting.sequence},
 		span:          m.reporting.takeSpan(now),
-		overloaded:    m.reporting.hasOverload(now),
+		overloaded:    m.reporting.hasOverloadEvidence(now),
 	}
 	m.setSender(&report.messageHeader)
 	for _, v := range m.servers.byID {
@@ -139,7 +139,7 @@
 			report.samples = append(report.samples, sample)
 		}
 	}
-	// The longest waits come first, as not all samples may fit.
+	// The longest waits come first, as the message may not have room for all samples.
 	slices.SortFunc(report.samples, func(a, b serverSample) int {
 		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.key, b.key))
 	})
@@ -147,9 +147,9 @@
 }
 
 // probeBypassed sends an empty report to a random one of the members that were bypassed when the aggregator was
-// selected. If it answers it is selected again, so that all members converge on one aggregator after a partition.
-// The report is emptied so that no two aggregators count it; an aggregator that probes empties its own latest report
-// as well.
+// selected. If that member answers, it is selected again, so that all members converge on one aggregator after a
+// partition. The report is emptied so that it is not counted by two aggregators; if this controller is its own
+// aggregator, that also empties the report that it has stored.
 func (m *Member) probeBypassed(now Time, report *loadReport) {
 	m.reporting.nextProbe = now + m.options.HeartbeatInterval
 	report.samples = nil
--- a/internal/overload/selection.go
+++ b/internal/overload/selection.go
@@ -10,41 +10,41 @@
 
 // Parameters of the selection of an aggregator.
 const (
-	// maxUnansweredReports is the number after which the aggregator is ejected. Where three datagrams in ten are lost,
-	// one run in 1,400 is longer.
+	// maxUnansweredReports is the number of unanswered reports after which the aggregator is ejected. At a loss rate of
+	// three datagrams in ten, one run of unanswered reports in 1,400 is longer.
 	maxUnansweredReports = 6
-	maxBypassed          = 8 // higher-ranked members that are probed
-	digestResetTerms     = 4 // terms after which all members are tried again
+	maxBypassed          = 8 // number of higher-ranked members that are probed
+	digestResetTerms     = 4 // interval, in terms, at which all members become eligible again
 )
 
-// noTerm is the term of a selection that must be made again.
+// noTerm is the term of a selection that has been invalidated.
 const noTerm = -1
 
 // An aggregatorSelection is a member's choice of its aggregator.
 type aggregatorSelection struct {
 	aggregator        int // number of the selected member
 	since             Time
-	term              int64 // for which it was selected
+	term              int64 // term for which the aggregator was selected
 	ejected           map[int]ejection
-	bypassed          []int // members of a higher rank that were not selected, without those ejected as wrong
+	bypassed          []int // higher-ranked members that were not selected, except those ejected as wrong
 	unansweredReports int
-	lastHeardAt       Time // when the aggregator last sent something; 0: never
+	lastContactAt     Time // when a message from the aggregator was last received; 0: never
 }
 
 func newAggregatorSelection(now Time) aggregatorSelection {
 	return aggregatorSelection{since: now, term: noTerm, ejected: make(map[int]ejection)}
 }
 
-// invalidate has the next call of selectAggregator select anew.
+// invalidate makes the next call of selectAggregator select again.
 func (s *aggregatorSelection) invalidate() { s.term = noTerm }
 
-// noteHeard notes that the aggregator sent something.
-func (s *aggregatorSelection) noteHeard(now Time) {
+// recordContact records that a message from the aggregator was received.
+func (s *aggregatorSelection) recordContact(now Time) {
 	s.unansweredReports = 0
-	s.lastHeardAt = now
+	s.lastContactAt = now
 }
 
-// expireEjections admits the members whose ejection has ended.
+// expireEjections makes members eligible again whose ejection has expired.
 func (s *aggregatorSelection) expireEjections(now Time) {
 	for number, e := range s.ejected {
 		if now >= e.until {
@@ -54,7 +54,7 @@
 	}
 }
 
-// selectFrom selects the first of the ranked members that may be alive and is not ejected; self always qualifies.
+// selectFrom selects the first of the ranked members that may be alive and is not ejected; self is always eligible.
 func (s *aggregatorSelection) selectFrom(ranked []int, self int, membership *membershipView) {
 	s.bypassed = s.bypassed[:0]
 	for _, candidate := range ranked {
@@ -74,10 +74,10 @@
 // Aggregator returns the number of the controller that this one reports to.
 func (m *Member) Aggregator() int { return m.selection.aggregator }
 
-// isOwnAggregator says whether this controller has selected itself.
+// isOwnAggregator reports whether this controller has selected itself as its aggregator.
 func (m *Member) isOwnAggregator() bool { return m.selection.aggregator == m.options.Self }
 
-// selectAggregator selects the aggregator of the current term, if that has not been done.
+// selectAggregator selects the aggregator of the current term unless a valid selection for it exists.
 func (m *Member) selectAggregator() {
 	s := &m.selection
 	s.expireEjections(m.now)
@@ -87,17 +87,17 @@
 	}
 	s.term = term
 	if term%digestResetTerms == 0 {
-		m.membership.members = nil // after a partition both parts count the other as dead: try all members again
+		m.membership.members = nil // after a partition each part considers the other dead: try all members again
 	}
 	previous := s.aggregator
 	s.selectFrom(rankMembers(term, m.options.Controllers), m.options.Self, &m.membership)
 	if s.aggregator != previous {
-		m.beginSelection()
+		m.resetAggregatorState()
 	}
 }
 
-// beginSelection resets what is known of the previous aggregator.
-func (m *Member) beginSelection() {
+// resetAggregatorState discards the state that belongs to the previous aggregator.
+func (m *Member) resetAggregatorState() {
 	m.AggregatorChanges++
 	m.selection.unansweredReports = 0
 	m.selection.since = m.now
@@ -106,7 +106,7 @@
 	m.limits.incarnation = 0
 }
 
-// countUnansweredReport counts a report to the aggregator and ejects it if too many remain unanswered.
+// countUnansweredReport counts a report to the aggregator and ejects the aggregator if too many are unanswered.
 func (m *Member) countUnansweredReport(now Time) {
 	m.selection.unansweredReports++
 	if m.selection.unansweredReports > maxUnansweredReports {
@@ -116,8 +116,8 @@
 	}
 }
 
-// readmit makes a bypassed member eligible again, as it was heard.
-func (m *Member) readmit(number int) {
+// readmitBypassed makes a bypassed member eligible again after a message from it was received.
+func (m *Member) readmitBypassed(number int) {
 	if !slices.Contains(m.selection.bypassed, number) {
 		return
 	}
@@ -127,8 +127,8 @@
 	m.selectAggregator()
 }
 
-// rankMembers returns the numbers of n members in the order in which they are to be the aggregator of a term, by
-// rendezvous hashing (Thaler and Ravishankar 1998).
+// rankMembers returns the numbers of n members in their order of preference as the aggregator of a term, by rendezvous
+// hashing (Thaler and Ravishankar 1998).
 func rankMembers(term int64, n int) []int {
 	type rankedMember struct {
 		number int
--- a/internal/overload/servers.go
+++ b/internal/overload/servers.go
@@ -7,27 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what a member keeps of servers.
+// Bounds of the state that a member keeps about servers.
 const (
-	maxServers        = 64 // that a member measures
+	maxServers        = 64 // servers that a member measures
 	serverRetention   = 60 * time.Second
-	maxPending        = 16 // set-ups of a server whose age is measured
+	maxPending        = 16 // pending set-ups of a server whose age is measured
 	setupTimeLifetime = 2500 * time.Millisecond
 )
 
-// serverKeyMask cuts the hash of a server's id to 24 bits.
+// serverKeyMask truncates the hash of a server's id to 24 bits.
 const serverKeyMask = 0xffffff
 
 // ServerKey returns the key that identifies a server in messages: a hash of its id.
 func ServerKey(server string) uint32 { return uint32(xxhash.Sum64String(server) & serverKeyMask) }
 
-// A serverView is what a member measures at a server, and the limit that its aggregator set.
+// A serverView holds a member's measurements of a server and the limit that its aggregator set.
 type serverView struct {
 	id           string
-	sample       serverSample // counts since the previous report; its wait is set by takeSample
-	pendingSince []Time       // when the set-ups without an answer were sent, the oldest first
-	setupTime    Time         // of answers, smoothed; 0: none yet
-	setupTimeAt  Time         // when the latest answer came
+	sample       serverSample // counts since the previous report; takeSample sets the wait
+	pendingSince []Time       // when the pending set-ups were sent, oldest first
+	setupTime    Time         // smoothed set-up time of answers; 0: none yet
+	setupTimeAt  Time         // when the latest answer was received
 	claim        claimCheck
 	lastUsedAt   Time
 	limit        serverLimit
@@ -35,27 +35,27 @@
 	throttled    int  // calls throttled by a limit
 }
 
-// hasLimit says whether a limit applies.
+// hasLimit reports whether a limit is in force.
 func (v *serverView) hasLimit(now Time) bool { return now < v.limitedUntil }
 
-// setLimit applies a limit until a time.
+// setLimit puts a limit in force until a time.
 func (v *serverView) setLimit(limit serverLimit, until Time) {
 	v.limit = limit
 	v.limitedUntil = until
 }
 
-// removeLimit ends the limit.
+// removeLimit ends the limit at once.
 func (v *serverView) removeLimit() { v.limitedUntil = 0 }
 
-// addPending notes that a set-up was sent.
+// addPending records that a set-up was sent.
 func (v *serverView) addPending(now Time) {
 	if len(v.pendingSince) < maxPending {
 		v.pendingSince = append(v.pendingSince, now)
 	}
 }
 
-// removePending notes that a set-up sent at a time has ended. If the time is unknown, as the caller may measure by
-// another clock, the oldest set-up is removed.
+// removePending records that the set-up sent at a time has ended. If no set-up was sent at exactly that time, as the
+// caller may use a different clock, the oldest one is removed.
 func (v *serverView) removePending(sentAt Time) {
 	if i := slices.Index(v.pendingSince, sentAt); i >= 0 {
 		v.pendingSince = slices.Delete(v.pendingSince, i, i+1)
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordAnswer counts an answer and smooths its set-up time.
+// recordAnswer counts an answer and updates the smoothed set-up time.
 func (v *serverView) recordAnswer(now, setupTime Time) {
 	v.sample.answered++
 	if v.setupTime == 0 || now-v.setupTimeAt > setupTimeLifetime {
@@ -76,7 +76,7 @@
 	v.claim = claimCheck{measured: setupTime, measuredAt: now}
 }
 
-// recentSetupTime is the smoothed set-up time; 0 if no answer came lately.
+// recentSetupTime returns the smoothed set-up time, or 0 if there was no recent answer.
 func (v *serverView) recentSetupTime(now Time) Time {
 	if v.setupTime > 0 && now-v.setupTimeAt < setupTimeLifetime {
 		return v.setupTime
@@ -98,14 +98,14 @@
 
 func (v *serverView) resetCounts() { v.sample = serverSample{key: v.sample.key} }
 
-// reset voids the counts, the set-up time and the limit.
+// reset discards the counts, the set-up time and the limit.
 func (v *serverView) reset() {
 	v.resetCounts()
 	v.setupTime = 0
 	v.removeLimit()
 }
 
-// hasActivity says whether the sample has anything to report.
+// hasActivity reports whether the sample is worth reporting.
 func (s *serverSample) hasActivity() bool {
 	return s.offered != [priorityCount]int{} || s.overflow > 0 || s.answered > 0 || s.wait > 0
 }
@@ -120,7 +120,7 @@
 	return serverTable{byID: make(map[string]*serverView), byKey: make(map[uint32]*serverView)}
 }
 
-// add adds a server. It returns nil if the table is full or another server has the same key: such a server is not
+// add adds a server. It returns nil if the table is full or another server has the same key; the server is then not
 // measured.
 func (t *serverTable) add(now Time, id string) *serverView {
 	if len(t.byID) >= maxServers {
@@ -136,7 +136,7 @@
 	return v
 }
 
-// removeUnused removes the servers that were not used for serverRetention.
+// removeUnused removes servers that have no pending set-ups and have not been used for serverRetention.
 func (t *serverTable) removeUnused(now Time) {
 	for id, v := range t.byID {
 		if len(v.pendingSince) == 0 && now-v.lastUsedAt > serverRetention {
@@ -158,7 +158,7 @@
 	}
 }
 
-// lookupServer returns the view of a server, which it adds if needed; nil if the server is not measured.
+// lookupServer returns the view of a server, adding it if needed. It returns nil if the server cannot be measured.
 func (m *Member) lookupServer(id string) *serverView {
 	v := m.servers.byID[id]
 	if v == nil {
@@ -166,8 +166,8 @@
 		if v == nil {
 			return nil
 		}
-		// The latest update may have a limit of the server: where calls are few, most servers are used for the first
-		// time during an overload.
+		// The latest update may have a limit for the server: if a controller has few calls, it uses most servers for
+		// the first time during an overload.
 		if limit, found := m.limits.find(v.sample.key); found {
 			v.setLimit(limit, m.limits.until)
 		}
--- a/internal/overload/state.go
+++ b/internal/overload/state.go
@@ -5,38 +5,38 @@
 	"slices"
 )
 
-// A State is a snapshot of a Member. Its JSON names are printed by olivectl peers --json and stay as they were first
-// released.
+// A State is a snapshot of a Member. Its JSON names are part of the output of olivectl peers --json and must stay as
+// first released.
 type State struct {
 	Self, Peers     int
 	Incarnation     uint32 `json:"Boot"`
 	Aggregator      int    `json:"Teller"`
 	AggregatorFor   Time   `json:"Since"` // time since the aggregator was selected
-	LimitsAge       Time   `json:"Heard"` // time since the aggregator was last heard; negative: never
-	AliveMembers    int    `json:"Live"`  // estimated by the aggregator
-	PeakMembers     int    `json:"Of"`    // the most that were alive in the last minutes
-	Partitioned     bool   `json:"Part"`  // far fewer members are alive than before: the network may be partitioned
-	FrequentReports bool   `json:"Often"` // reports are sent each report interval
+	LimitsAge       Time   `json:"Heard"` // time since the last message from the aggregator; negative: never
+	AliveMembers    int    `json:"Live"`  // estimated number of living members
+	PeakMembers     int    `json:"Of"`    // highest number of living members in the last minutes
+	Partitioned     bool   `json:"Part"`  // under 9/10 of the peak are alive: the network may be partitioned
+	FrequentReports bool   `json:"Often"` // load reports are sent each report interval
 	Ejected         int    `json:"Shunned"`
 	Servers         []ServerState
-	Aggregates      []AggregateState `json:"Told"`      // of an aggregator
-	Members         []MemberState    `json:"Reporters"` // of an aggregator: the members that have reported
+	Aggregates      []AggregateState `json:"Told"`      // set on an aggregator
+	Members         []MemberState    `json:"Reporters"` // set on an aggregator: the members that have reported
 	Counters        Counters
 }
 
-// A ServerState is what a member measures at a server and the limit that it applies there.
+// A ServerState holds a member's measurements of a server and the limit that it applies.
 type ServerState struct {
 	ID              string
 	PendingAttempts int                    `json:"Waiting"`
-	SetupTime       Time                   `json:"Wait"`   // smoothed; 0: no answer lately
-	Limited         bool                   `json:"Obeyed"` // a limit applies
-	ClaimedWait     Time                   `json:"Claim"`  // set-up time that the aggregator claims
+	SetupTime       Time                   `json:"Wait"`   // smoothed; 0: no recent answer
+	Limited         bool                   `json:"Obeyed"` // a limit is in force
+	ClaimedWait     Time                   `json:"Claim"`  // set-up time claimed by the aggregator
 	ThrottleChance  [priorityCount]float64 `json:"Hold"`   // by priority
 	OverflowChance  float64                `json:"Over"`   // for set-ups that are not a call's first choice
-	Throttled       int                    `json:"Held"`   // calls
+	Throttled       int                    `json:"Held"`   // number of throttled calls
 }
 
-// An AggregateState is what an aggregator concludes about a server. Rates are events a second.
+// An AggregateState is an aggregator's view of a server. Rates are events per second.
 type AggregateState struct {
 	Key          uint32
 	Offered      float64
@@ -47,14 +47,14 @@
 	AdmittedRate float64 `json:"Budget"` // +Inf: not limited
 }
 
-// A MemberState is what an aggregator knows of a member.
+// A MemberState is an aggregator's view of a member.
 type MemberState struct {
 	Number        int
 	Status        MemberStatus `json:"Presence"`
 	LastReportAge Time         `json:"Heard"`
 	Incarnation   uint32       `json:"Boot"`
-	LossShare     float64      `json:"Lost"` // of its reports
-	ReportSpan    Time         `json:"Last"` // of the latest report
+	LossShare     float64      `json:"Lost"` // share of its reports that were lost
+	ReportSpan    Time         `json:"Last"` // time that the latest report covers
 }
 
 // State returns a snapshot of the member.
@@ -74,8 +74,8 @@
 		Counters:        m.Counters,
 	}
 	s.Partitioned = s.AliveMembers*10 < s.PeakMembers*9
-	if m.selection.lastHeardAt > 0 {
-		s.LimitsAge = now - m.selection.lastHeardAt
+	if m.selection.lastContactAt > 0 {
+		s.LimitsAge = now - m.selection.lastContactAt
 	}
 	hasReporters := m.aggregator.lastReportAt > 0 && now-m.aggregator.lastReportAt <= 2*m.options.HeartbeatInterval
 	if m.isOwnAggregator() || hasReporters {
@@ -85,7 +85,7 @@
 	return s
 }
 
-// states returns the states of all servers, sorted by id.
+// states returns the state of each server, sorted by id.
 func (t *serverTable) states(now Time) []ServerState {
 	var states []ServerState
 	for _, v := range t.byID {
@@ -105,13 +105,13 @@
 	}
 	if s.Limited {
 		s.ClaimedWait = v.limit.claimedWait()
-		s.ThrottleChance = v.limit.throttleChances()
-		s.OverflowChance = v.limit.overflowChance()
+		s.ThrottleChance = v.limit.throttleProbabilities()
+		s.OverflowChance = v.limit.overflowProbability()
 	}
 	return s
 }
 
-// serverStates returns the states of all aggregates, sorted by key.
+// serverStates returns the state of each aggregate, sorted by key.
 func (a *aggregator) serverStates() []AggregateState {
 	var states []AggregateState
 	for _, s := range a.sortedServers() {
@@ -128,7 +128,7 @@
 	return states
 }
 
-// memberStates returns the states of all members that have reported, by number.
+// memberStates returns the state of each member that has reported, sorted by number.
 func (a *aggregator) memberStates(now Time) []MemberState {
 	var states []MemberState
 	for number := range a.members {
--- a/internal/overload/throttling.go
+++ b/internal/overload/throttling.go
@@ -5,31 +5,32 @@
 	"slices"
 )
 
-// maxThrottle is the greatest throttle that an aggregator sets, of 255: no server is cut off entirely.
+// maxThrottle is the highest throttle that an aggregator sets, of 255. It is below 255 so that no server is cut off
+// entirely.
 const maxThrottle = 250
 
-// Shares of its peak throughput that a server without a limit may be sent in addition: the reserve that is assumed
-// above the peak, and the least headroom.
+// Parameters of the headroom for overflow of a server without a limit, as shares of its peak throughput: the throughput
+// that the server is assumed to reach, and the lower bound of the headroom.
 const (
 	peakMargin  = 1.05
 	minHeadroom = 0.05
 )
 
-// An allocation is the distribution of a server's admitted rate over the priorities.
+// An allocation is the distribution of a server's admitted rate across the priorities.
 type allocation struct {
 	server   *serverAggregate
 	limit    serverLimit
-	headroom float64 // set-ups a second that remain for overflow
+	headroom float64 // set-ups per second that are left for overflow
 }
 
 // A throttlePlan is the distribution of all admitted rates.
 type throttlePlan struct {
 	allocations []allocation
-	throttled   float64 // calls a second that no server admits as their first choice
+	throttled   float64 // calls per second that are throttled at their first choice
 }
 
-// serverLimits returns the limits of the servers with a finite admitted rate, the most throttled first, as not all
-// may fit a message.
+// serverLimits returns the limits of the servers with a finite admitted rate, the most throttled first, as a message
+// may not have room for all.
 func (a *aggregator) serverLimits() []serverLimit {
 	var plan throttlePlan
 	for _, s := range a.sortedServers() {
@@ -52,14 +53,14 @@
 		a.headroom = s.admittedRate
 		p.admitByPriority(&a)
 	} else {
-		// Throughput that the server had and has not now is free for overflow, and a little more, which finds out
-		// whether the server can do more.
+		// The difference between peak and present throughput is free for overflow. The margin above the peak probes
+		// whether the server can take more.
 		a.headroom = max(peakMargin*s.peakThroughput-s.answered, minHeadroom*s.peakThroughput)
 	}
 	p.allocations = append(p.allocations, a)
 }
 
-// admitByPriority gives the rate to the highest priorities first. The highest one is never throttled.
+// admitByPriority allocates the rate to the highest priorities first. The highest one is never throttled.
 func (p *throttlePlan) admitByPriority(a *allocation) {
 	for priority := priorityCount - 1; priority >= 0; priority-- {
 		offered := a.server.offered[priority]
@@ -84,8 +85,8 @@
 		if !a.server.isLimited() {
 			continue
 		}
-		// A throttled call tries all servers in turn, so overflow may use no more than the headroom: an open chance at
-		// each server without headroom would add up.
+		// A throttled call tries all servers in turn. Overflow must not exceed the headroom, as even a small
+		// probability of admission at each server without headroom would add up.
 		admitted := 1.0
 		if p.throttled > 0 {
 			admitted = min(a.headroom/p.throttled, 1)
@@ -96,5 +97,5 @@
 	return limits
 }
 
-// throttleByte converts a share to the throttle of a message.
+// throttleByte converts a share to its encoding as a throttle in a message.
 func throttleByte(share float64) int { return min(roundToInt(share*maxShare), maxThrottle) }
--- a/internal/overload/trust.go
+++ b/internal/overload/trust.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Parameters of the comparison of an aggregator's claims with own measurements.
+// Parameters of the comparison of an aggregator's claims with the member's own measurements.
 const (
-	comparisonWindow     = 1000 * time.Millisecond // greatest age of an answer that a claim is compared with
-	claimTolerance       = 4                       // factor between claimed wait and set-up time that is a match
-	maxDeviation         = 4                       // a greater deviation counts as this
-	suspicionThreshold   = 4.0                     // suspicion at which the aggregator is ejected
-	minMatchingResults   = 3                       // matches that establish trust
-	maxUntrustedThrottle = 0.8                     // greatest throttle probability without trust
+	comparisonWindow     = 1000 * time.Millisecond // maximum age of an answer that a claim is compared with
+	claimTolerance       = 4                       // claimed wait and set-up time match within this factor
+	maxDeviation         = 4                       // upper bound of a single deviation
+	suspicionThreshold   = 4.0                     // suspicion from which the aggregator is ejected
+	minMatchingResults   = 3                       // matches needed to establish trust
+	maxUntrustedThrottle = 0.8                     // maximum throttle probability before trust is established
 )
 
-// ejectionTime is how long an aggregator that was silent or wrong is not selected.
+// ejectionTime is how long an ejected aggregator is excluded from selection.
 const ejectionTime = 30 * time.Second
 
-// A claimCheck is the set-up time of a server's latest answer, and whether a claim was compared with it.
+// A claimCheck holds the set-up time of a server's latest answer and whether a claim was compared with it.
 type claimCheck struct {
 	measured   Time
 	measuredAt Time
-	isDone     bool
+	isCompared bool
 }
 
 // aggregatorTrust is the result of comparing the aggregator's claims with the member's own measurements.
@@ -31,16 +31,16 @@
 	suspicion       float64
 }
 
-// isEstablished says whether the claims have matched often enough, and have not deviated more often.
+// isEstablished reports whether enough claims have matched and no suspicion remains.
 func (t *aggregatorTrust) isEstablished() bool {
 	return t.matchingResults >= minMatchingResults && t.suspicion <= 0
 }
 
-// isRefuted says whether the claims deviate too much from the measurements.
+// isRefuted reports whether the claims have deviated too much from the measurements.
 func (t *aggregatorTrust) isRefuted() bool { return t.suspicion >= suspicionThreshold }
 
-// record takes a deviation into account; up to 1 is a match. Greater deviations raise the suspicion more: a false
-// claim of a wait of half a minute is refuted by two or three answers.
+// record accounts for a deviation; up to 1 is a match. Larger deviations raise the suspicion more: two or three
+// answers refute a false claim of a wait of half a minute.
 func (t *aggregatorTrust) record(deviation float64) {
 	if deviation <= 1 {
 		t.suspicion = max(t.suspicion-1, 0)
@@ -50,24 +50,24 @@
 	t.suspicion += min(deviation, maxDeviation) / 2
 }
 
-// claimDeviation is the ratio of a claimed wait and a measured set-up time on a logarithmic scale; 1 is the
-// tolerance. Times far below the latency threshold count as equal.
+// claimDeviation returns the ratio of a claimed wait and a measured set-up time on a logarithmic scale, on which 1 is
+// the tolerance. Times below an eighth of the latency threshold count as equal.
 func claimDeviation(claimed, measured, latencyThreshold Time) float64 {
 	floor := float64(latencyThreshold) / 8
 	ratio := max(float64(claimed), floor) / max(float64(measured), floor)
 	return math.Abs(math.Log(ratio)) / math.Log(claimTolerance)
 }
 
-// checkClaim compares the aggregator's claim about a server with the server's latest answer, once for each answer.
-// It ejects an aggregator whose claims are refuted.
+// checkClaim compares the aggregator's claim about a server with the server's latest answer, once per answer, and
+// ejects the aggregator if its claims are refuted.
 func (m *Member) checkClaim(now Time, v *serverView) {
-	if v.claim.isDone || !v.hasLimit(now) || m.isOwnAggregator() {
+	if v.claim.isCompared || !v.hasLimit(now) || m.isOwnAggregator() {
 		return
 	}
 	if now-v.claim.measuredAt > comparisonWindow {
 		return
 	}
-	v.claim.isDone = true
+	v.claim.isCompared = true
 	m.trust.record(claimDeviation(v.limit.claimedWait(), v.claim.measured, m.options.LatencyThreshold))
 	if m.trust.isRefuted() {
 		m.AggregatorsEjected++
@@ -75,10 +75,11 @@
 	}
 }
 
-// An ejectionReason says why an aggregator was ejected.
+// An ejectionReason is the reason why an aggregator was ejected.
 type ejectionReason int
 
-// Reasons of an ejection. A silent aggregator is selected again as soon as it is heard, a wrong one is not.
+// Reasons for an ejection. An unresponsive aggregator becomes eligible again as soon as a message from it is received;
+// a wrong one does not.
 const (
 	ejectedAsSilent ejectionReason = iota
 	ejectedAsWrong
@@ -91,7 +92,8 @@
 }
 
 // eject excludes the selected aggregator from selection, removes its limits and selects another one. If half of all
-// members would be excluded, the fault is probably this member's connection, and the others are admitted again.
+// members are already excluded, the fault is probably this member's own connection, so the others are made eligible
+// again first.
 func (m *Member) eject(now Time, reason ejectionReason) {
 	if len(m.selection.ejected) >= m.options.Controllers/2 {
 		clear(m.selection.ejected)
