--- a/internal/overload/aggregator_test.go
+++ b/internal/overload/aggregator_test.go
@@ -16,14 +16,14 @@
 	return &loadReport{messageHeader: h, span: span, samples: samples}
 }
 
-// newTestAggregator returns an aggregator that has last aggregated at a time.
+// newTestAggregator returns an aggregator whose last aggregation was at the given time.
 func newTestAggregator(members int, aggregatedAt Time) *aggregator {
 	a := newAggregator(members, latencyThreshold, 10*second, 500*ms)
 	a.aggregatedAt = aggregatedAt
 	return a
 }
 
-// The reports of one member change no sum by more than its weight, whatever they say.
+// The reports of a single member change a sum by no more than the member's weight, whatever they contain.
 func TestInfluenceOfOneMemberIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(5, 60).Draw(rt, "n")
@@ -55,19 +55,19 @@
 		x, y := without.servers[1], with.servers[1]
 		bound := max(maxRelativeWeight*3, minClippedRate) + 1e-9
 		if d := y.totalOffered() - x.totalOffered(); d < 0 || d > bound {
-			rt.Errorf("one of %d changed the offered rate by %.1f a second, %.1f at most", n, d, bound)
+			rt.Errorf("one of %d members changed the offered rate by %.1f per second, want at most %.1f", n, d, bound)
 		}
 		if d := y.answered - x.answered; d < 0 || d > bound {
-			rt.Errorf("one of %d changed the answered rate by %.1f a second, %.1f at most", n, d, bound)
+			rt.Errorf("one of %d members changed the answered rate by %.1f per second, want at most %.1f", n, d, bound)
 		}
 		if x.wait != y.wait {
-			rt.Errorf("one of %d changed the wait from %v to %v", n, x.wait, y.wait)
+			rt.Errorf("one of %d members changed the wait from %v to %v", n, x.wait, y.wait)
 		}
 	})
 }
 
-// Throttle probabilities keep their order and bounds: a higher priority is never throttled more than a lower one, the
-// highest never, none entirely; and what is admitted of the offered calls is the admitted rate.
+// Throttle probabilities are ordered and bounded: a higher priority is never throttled more than a lower one, the
+// highest is never throttled, and none is throttled entirely. The calls that pass do not exceed the admitted rate.
 func TestServerLimitsAreBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a := newTestAggregator(3, 0)
@@ -93,19 +93,19 @@
 	}
 	for priority := 1; priority < priorityCount; priority++ {
 		if throttled[priority] > throttled[priority-1]+0.02 {
-			rt.Errorf("%+v throttles %v", limit, throttled)
+			rt.Errorf("%+v throttles a higher priority more than a lower one: %v", limit, throttled)
 		}
 	}
 	admitted := 0.0
 	for priority := range throttled {
 		if throttled[priority] > 0.995 {
-			rt.Errorf("%+v admits nobody: %v", limit, throttled)
+			rt.Errorf("%+v throttles a priority entirely: %v", limit, throttled)
 		}
 		admitted += s.offered[priority] * (1 - throttled[priority])
 	}
 	maxAdmitted := max(s.admittedRate, s.offered[priorityCount-1]) + 0.02*s.totalOffered() + 0.6
 	if admitted > maxAdmitted {
-		rt.Errorf("%+v admits %.1f a second, the admitted rate is %.1f", limit, admitted, s.admittedRate)
+		rt.Errorf("%+v admits %.1f per second, the admitted rate is %.1f", limit, admitted, s.admittedRate)
 	}
 }
 
@@ -123,7 +123,7 @@
 	return shares
 }
 
-// Duplicate reports, overtaken ones and those of an earlier incarnation are rejected.
+// Reports that are duplicate, out of order or from an earlier incarnation are rejected.
 func TestStaleReportsAreRejected(t *testing.T) {
 	a := newTestAggregator(2, 0)
 	report := func(incarnation, sequence uint32) *loadReport {
@@ -148,16 +148,16 @@
 		}
 	}
 	if !a.acceptReport(now+15*second, report(6, 2)) || !a.acceptReport(now+60*second, report(3, 1)) {
-		t.Error("a report of a member whose clock was set back is rejected for ever")
+		t.Error("the reports of a member whose clock was set back are never accepted again")
 	}
 	if a.acceptReport(now, newReport(messageHeader{sender: 2, incarnation: 1, sequence: 1}, 0)) {
-		t.Error("a report of a member that does not exist was accepted")
+		t.Error("a report from a member that does not exist was accepted")
 	}
 }
 
-// An overloaded server recovers when no member reports a wait any more, whatever the last reported wait was. (The
-// last wait was once kept for ever: a controller whose aggregator had no other reporter throttled all of its calls
-// after a partition, 24 of 24 in the last seconds of a run of 24 processes, seed 15.)
+// The limit of an overloaded server ends when no member reports a wait any more, whatever the last reported wait was.
+// The last wait was once kept for ever: after a partition, a controller that was the only reporter of its aggregator
+// throttled all of its calls (24 of 24 in the last seconds of a run of 24 processes, seed 15).
 func TestServerWithoutReportedWaitRecovers(t *testing.T) {
 	now, sequence := 100*second, uint32(0)
 	a := newTestAggregator(2, now)
@@ -173,19 +173,19 @@
 		aggregateReport(serverSample{key: 1, offered: [priorityCount]int{0, 2, 1, 0}, answered: 1, wait: 300})
 	}
 	if limits := a.serverLimits(); len(limits) == 0 || limits[0].throttle == 0 {
-		t.Fatalf("a server that answers late is not limited: %+v", limits)
+		t.Fatalf("an overloaded server is not limited: %+v", limits)
 	}
 	for i := 0; len(a.serverLimits()) > 0; i++ {
 		if i > 30 {
-			t.Fatalf("the server is limited 15 s after the last reported wait: %+v", a.serverLimits())
+			t.Fatalf("the server is still limited 15 s after the last reported wait: %+v", a.serverLimits())
 		}
 		aggregateReport(serverSample{key: 1, offered: [priorityCount]int{0, 2, 1, 0}})
 	}
 }
 
-// A server that answers nobody is left to each member's own evidence, and is not limited once it answers again. (An
-// admitted rate of half a set-up a second was once set where a zone was unreachable, and outlasted the outage by
-// seconds.)
+// The aggregator sets no limit for a server that answers no calls, during the outage or after it; each member relies on
+// its own measurements. An admitted rate of half a set-up per second was once set while a zone was unreachable, and
+// stayed in force for seconds after the outage.
 func TestUnresponsiveServerIsNotLimited(t *testing.T) {
 	now := 100 * second
 	a := newTestAggregator(2, now)
@@ -195,7 +195,7 @@
 		if isResponsive := step < 4 || step >= 16; isResponsive {
 			sample.answered, sample.wait = 3, 8
 		} else {
-			sample.wait = int(step) * 50 // set-ups wait for as long as the outage lasts
+			sample.wait = int(step) * 50 // set-ups wait until the outage ends
 		}
 		report := newReport(messageHeader{sender: 1, incarnation: 1, sequence: step + 1}, 50, sample)
 		report.overloaded = true
@@ -205,7 +205,7 @@
 			continue
 		}
 		if limits := a.serverLimits(); len(limits) > 0 {
-			t.Fatalf("%v after the outage of 6 s began: %+v", now-102*second, limits)
+			t.Fatalf("%v after the start of an outage of 6 s the server is limited: %+v", now-102*second, limits)
 		}
 	}
 }
--- a/internal/overload/cluster_test.go
+++ b/internal/overload/cluster_test.go
@@ -15,10 +15,10 @@
 
 const latencyThreshold = 500 * ms
 
-// stepSeconds is how far a step advances the clock.
+// stepSeconds is the duration of a step.
 const stepSeconds = 0.01
 
-// A cluster is a number of members, the network between them and a server "s" that they share.
+// A cluster simulates several members, the network between them and a server "s" that they share.
 type cluster struct {
 	t             testing.TB
 	now           Time
@@ -29,16 +29,16 @@
 	lossRate      float64
 	isPartitioned func(a, b int) bool // nil: never
 	serverQueue   []pendingAttempt
-	serverTokens  float64 // set-ups that the server may answer now
+	serverTokens  float64 // token bucket of the server's capacity
 }
 
-// A pendingAttempt is a set-up that waits at the server.
+// A pendingAttempt is a set-up that is queued at the server.
 type pendingAttempt struct {
 	member *Member
 	sentAt Time
 }
 
-// A delayedDatagram is a datagram in the network.
+// A delayedDatagram is a datagram in transit.
 type delayedDatagram struct {
 	arrival  Time
 	from, to int
@@ -75,7 +75,8 @@
 	c.members[i] = m
 }
 
-// step advances the clock by 10 ms: each member does its work, and datagrams arrive 5 to 40 ms late, in any order.
+// step advances the clock by 10 ms, delivers datagrams and runs each member. Datagrams are delayed by 5 to 40 ms and
+// may be reordered.
 func (c *cluster) step(work func(i int, m *Member)) {
 	c.now += 10 * ms
 	c.deliver()
@@ -95,7 +96,7 @@
 	}
 }
 
-// deliver delivers the datagrams that arrive now.
+// deliver delivers the datagrams that have arrived.
 func (c *cluster) deliver() {
 	var rest []delayedDatagram
 	for _, d := range c.inFlight {
@@ -108,10 +109,10 @@
 	c.inFlight = rest
 }
 
-// transmit puts a datagram into the network: it may be lost, and one in twenty is duplicated.
+// transmit puts a datagram into the network. It may be lost, and one in twenty is duplicated.
 func (c *cluster) transmit(from int, d Datagram) {
 	if len(d.Payload) > MaxMessageBytes {
-		c.t.Fatalf("a message of %d bytes, %d at most", len(d.Payload), MaxMessageBytes)
+		c.t.Fatalf("a message has %d bytes, want at most %d", len(d.Payload), MaxMessageBytes)
 	}
 	if c.rng.Float64() < c.lossRate || c.isPartitioned != nil && c.isPartitioned(from, d.To) {
 		return
@@ -122,15 +123,15 @@
 	}
 }
 
-// run advances the clock step by step.
+// run advances the clock step by step for a duration.
 func (c *cluster) run(d Time, work func(i int, m *Member)) {
 	for end := c.now + d; c.now < end; {
 		c.step(work)
 	}
 }
 
-// runOverload offers calls to the server, which answers up to its capacity, both a second. It returns the set-ups
-// that were sent a second in the second half of the time.
+// runOverload offers calls to the server, which answers up to its capacity; both are rates per second. It returns the
+// rate of set-ups sent in the second half of the duration.
 func (c *cluster) runOverload(d Time, offered, capacity float64) (sentRate float64) {
 	countFrom := c.now + d/2
 	sent := 0
@@ -149,7 +150,7 @@
 	return float64(sent) / (d / 2).Seconds()
 }
 
-// running is the number of members that are not down.
+// running returns the number of members that are not down.
 func (c *cluster) running() int {
 	n := 0
 	for _, m := range c.members {
@@ -160,7 +161,7 @@
 	return n
 }
 
-// offerCall offers a call to a member and says whether it was sent.
+// offerCall offers a call to a member and reports whether a set-up was sent.
 func (c *cluster) offerCall(m *Member) bool {
 	m.RecordOffered(c.now, "s", 1)
 	if reason, _ := m.Throttle(c.now, "s", 1, true); reason != "" {
@@ -171,13 +172,13 @@
 	return true
 }
 
-// serveCalls answers the calls that the server has capacity for.
+// serveCalls answers as many calls as the server has capacity for.
 func (c *cluster) serveCalls(capacity float64) {
 	for c.serverTokens += capacity * stepSeconds; c.serverTokens >= 1 && len(c.serverQueue) > 0; c.serverTokens-- {
 		attempt := c.serverQueue[0]
 		c.serverQueue = c.serverQueue[1:]
 		elapsed := c.now - attempt.sentAt + 60*ms
-		attempt.member.RecordResult(c.now, "s", true, elapsed) // harmless if the member is down
+		attempt.member.RecordResult(c.now, "s", true, elapsed) // has no effect if the member is down
 		if elapsed > latencyThreshold {
 			attempt.member.RecordOverload(c.now, "s")
 		}
@@ -186,7 +187,7 @@
 }
 
 // aggregators returns the selected aggregators with the number of members that selected them. Members that have
-// ejected an aggregator as wrong are not counted: where an overload begins or ends, one in some hundreds does.
+// ejected an aggregator as wrong are not counted: when an overload begins or ends, one in a few hundred does so.
 func (c *cluster) aggregators() map[int]int {
 	selected := make(map[int]int)
 	for _, m := range c.members {
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -8,13 +8,13 @@
 	"olivedale/internal/goldentest"
 )
 
-// goldenMessages returns messages of every kind, with edge values and with more than fits. Their names are those of
+// goldenMessages returns messages of every kind, including edge values and more entries than fit. Their names appear in
 // the golden files.
 func goldenMessages() []goldentest.Message {
-	of := func(kind messageKind) messageHeader {
+	header := func(kind messageKind) messageHeader {
 		return messageHeader{kind: kind, sender: 3, incarnation: 1764547200, sequence: 77}
 	}
-	largest := func(kind messageKind) messageHeader {
+	largestHeader := func(kind messageKind) messageHeader {
 		return messageHeader{kind: kind, sender: maxMembers - 1, incarnation: 1<<32 - 1, sequence: 1<<32 - 1}
 	}
 	samples := []serverSample{
@@ -31,26 +31,26 @@
 		return goldentest.Message{Name: name, Bytes: m.append(nil)}
 	}
 	return []goldentest.Message{
-		encode("report", &loadReport{messageHeader: of(kindLoadReport), span: 50, overloaded: true, samples: samples}),
-		encode("report without sights", &loadReport{messageHeader: largest(kindLoadReport), span: maxWait}),
+		encode("report", &loadReport{messageHeader: header(kindLoadReport), span: 50, overloaded: true, samples: samples}),
+		encode("report without sights", &loadReport{messageHeader: largestHeader(kindLoadReport), span: maxWait}),
 		encode("report cut to its limit", &loadReport{
-			messageHeader: of(kindLoadReport),
+			messageHeader: header(kindLoadReport),
 			samples:       make([]serverSample, 100),
 		}),
-		encode("word", &limitUpdate{messageHeader: of(kindLimitUpdate), aliveMembers: 290, limits: limits}),
-		encode("word without terms", &limitUpdate{messageHeader: largest(kindLimitUpdate), aliveMembers: maxMembers}),
+		encode("word", &limitUpdate{messageHeader: header(kindLimitUpdate), aliveMembers: 290, limits: limits}),
+		encode("word without terms", &limitUpdate{messageHeader: largestHeader(kindLimitUpdate), aliveMembers: maxMembers}),
 		encode("word cut to its limit", &limitUpdate{
-			messageHeader: of(kindLimitUpdate),
+			messageHeader: header(kindLimitUpdate),
 			limits:        make([]serverLimit, 100),
 		}),
 		encode("roll", &membershipDigest{
-			messageHeader: of(kindMembershipDigest),
+			messageHeader: header(kindMembershipDigest),
 			aliveMembers:  9,
 			peakMembers:   300,
 			members:       []byte{0xff, 0x01, 0x80},
 		}),
 		encode("roll cut to its limit", &membershipDigest{
-			messageHeader: largest(kindMembershipDigest),
+			messageHeader: largestHeader(kindMembershipDigest),
 			aliveMembers:  maxMembers,
 			peakMembers:   maxMembers,
 			members:       make([]byte, 300),
@@ -66,34 +66,34 @@
 	}
 }
 
-// dumpMessage writes a decoded message with the labels of the golden file.
+// dumpMessage writes a decoded message in the format of the golden file.
 func dumpMessage(b *strings.Builder, m message) {
-	begin := func(what string, h *messageHeader) {
+	writeHeader := func(label string, h *messageHeader) {
 		_, _ = fmt.Fprintf(b, "%s kind %d from %d boot %d sequence %d",
-			what, h.kind, h.sender, h.incarnation, h.sequence)
+			label, h.kind, h.sender, h.incarnation, h.sequence)
 	}
 	switch m := m.(type) {
 	case *loadReport:
-		begin("report", &m.messageHeader)
+		writeHeader("report", &m.messageHeader)
 		_, _ = fmt.Fprintf(b, " span %d pressed %v\n", m.span, m.overloaded)
 		for _, s := range m.samples {
 			_, _ = fmt.Fprintf(b, "  server %06x offered %v second-choice %d answered %d wait %d pressed %v\n",
 				s.key, s.offered, s.overflow, s.answered, s.wait, s.overloaded)
 		}
 	case *limitUpdate:
-		begin("word", &m.messageHeader)
+		writeHeader("word", &m.messageHeader)
 		_, _ = fmt.Fprintf(b, " live %d\n", m.aliveMembers)
 		for _, l := range m.limits {
 			_, _ = fmt.Fprintf(b, "  server %06x tier %d part %d second-choice %d wait %d\n",
 				l.key, l.priority, l.throttle, l.overflowThrottle, l.wait)
 		}
 	case *membershipDigest:
-		begin("roll", &m.messageHeader)
+		writeHeader("roll", &m.messageHeader)
 		_, _ = fmt.Fprintf(b, " live %d most %d present %x\n", m.aliveMembers, m.peakMembers, m.members)
 	}
 }
 
-// Messages are encoded as the committed bytes, and these are decoded as the committed dump.
+// Messages are encoded to the committed bytes, and these are decoded to the committed dump.
 func TestGoldenDatagrams(t *testing.T) {
 	var dump strings.Builder
 	for _, m := range goldentest.Messages(t, "datagrams.txt", goldenMessages()) {
--- a/internal/overload/member_test.go
+++ b/internal/overload/member_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// All members together send what the server answers, with any loss of datagrams.
+// All members together send at the rate that the server answers, whatever the loss of datagrams.
 func TestAdmittedRateMatchesServerCapacity(t *testing.T) {
 	for _, test := range []struct {
 		members  int
@@ -22,18 +22,18 @@
 		c.lossRate = test.lossRate
 		got := c.runOverload(40*second, 60, 30)
 		if got < (0.85-test.lossRate/3)*30 || got > 1.15*30 {
-			t.Errorf("%d members, %.0f%% lost: %.1f of 60 set-ups a second were sent to a server that answers 30",
+			t.Errorf("%d members, %.0f%% lost: %.1f of 60 set-ups per second were sent to a server with a capacity of 30",
 				test.members, 100*test.lossRate, got)
 		}
 	}
 }
 
-// After an overload no call is throttled, and members send next to nothing.
+// After an overload no call is throttled, and members exchange almost no datagrams.
 func TestThrottlingAndFrequentReportsEndWithTheOverload(t *testing.T) {
 	c := newCluster(t, 60, 5)
 	c.runOverload(20*second, 60, 30)
 	if got := c.runOverload(20*second, 20, 30); got < 18 {
-		t.Errorf("%.1f of 20 calls a second are sent after the overload", got)
+		t.Errorf("%.1f of 20 calls per second are sent after the overload", got)
 	}
 	c.run(20*second, nil)
 	datagrams, bytes := 0, 0
@@ -50,12 +50,12 @@
 		bytes += m.SentBytes
 	}
 	if rate := float64(bytes) / 60 / 100; rate > 8 {
-		t.Errorf("each member sends %.1f bytes and %.2f datagrams a second in calm, 8 bytes at most",
+		t.Errorf("without overload each member sends %.1f bytes and %.2f datagrams per second, want at most 8 bytes",
 			rate, float64(datagrams)/6000)
 	}
 }
 
-// The estimate of the living members is unbiased where datagrams are lost.
+// The estimate of the number of living members is unbiased under packet loss.
 func TestEstimateIsUnbiasedUnderLoss(t *testing.T) {
 	for _, lossRate := range []float64{0, 0.1, 0.3} {
 		sum, n := 0.0, 0
@@ -75,23 +75,23 @@
 			}
 		}
 		if n < 20 {
-			t.Fatalf("loss %v: an aggregator was found %d times", lossRate, n)
+			t.Fatalf("loss %v: a settled aggregator was found only %d times", lossRate, n)
 		}
 		// An aggregator counts itself only while it receives its own reports.
 		if mean := sum / float64(n); math.Abs(mean-59) > 2 {
-			t.Errorf("loss %v: the estimate of 60 members is %.1f", lossRate, mean)
+			t.Errorf("loss %v: the mean estimate for 60 members is %.1f", lossRate, mean)
 		}
 	}
 }
 
-// isSettledAggregator says whether a member has been its own aggregator for three heartbeats and receives reports.
+// isSettledAggregator reports whether a member has been its own aggregator for three heartbeats and receives reports.
 func isSettledAggregator(m *Member, now Time) bool {
 	receivesReports := m.aggregator.lastReportAt > 0 && now-m.aggregator.lastReportAt < 2*second
 	return m.isOwnAggregator() && receivesReports && now-m.selection.since > 35*second
 }
 
-// When the aggregator fails in an overload another replaces it, even if seven in ten members fail at once; members
-// that restart select the same one.
+// When the aggregator fails during an overload, another one replaces it, even if seven in ten members fail at once.
+// Members that restart select the same aggregator.
 func TestFailedAggregatorIsReplaced(t *testing.T) {
 	c := newCluster(t, 60, 3)
 	c.runOverload(15*second, 60, 30)
@@ -105,11 +105,11 @@
 	for len(c.aggregators()) > 1 || c.members[c.members[58].selection.aggregator] == nil {
 		c.runOverload(second/2, 60, 30)
 		if c.now-failedAt > 15*second {
-			t.Fatalf("15 s after the failure of %d the aggregators are %v", failed, c.aggregators())
+			t.Fatalf("15 s after aggregator %d failed, the aggregators are %v", failed, c.aggregators())
 		}
 	}
 	if got := c.runOverload(20*second, 60, 30); got > 1.15*30 {
-		t.Errorf("%.1f set-ups a second are sent to a server that answers 30", got)
+		t.Errorf("%.1f set-ups per second are sent to a server with a capacity of 30", got)
 	}
 	for i := range c.members {
 		if c.members[i] == nil {
@@ -118,19 +118,19 @@
 	}
 	c.runOverload(20*second, 60, 30)
 	if n := len(c.aggregators()); n > 1 {
-		t.Errorf("after all restarted the aggregators are %v", c.aggregators())
+		t.Errorf("after the restart of all members the aggregators are %v", c.aggregators())
 	}
 }
 
-// The parts of a partitioned network limit the load each by its own sums, and select one aggregator some time after
-// the partition ends.
+// Each part of a partitioned network limits the load by its own sums. Some time after the partition ends, all members
+// select the same aggregator.
 func TestPartitionedMembersConvergeAfterwards(t *testing.T) {
 	c := newCluster(t, 40, 9)
 	halves := func(a, b int) bool { return a%2 != b%2 }
 	c.runOverload(10*second, 60, 30)
 	c.isPartitioned = halves
 	if got := c.runOverload(20*second, 60, 30); got > 1.2*30 {
-		t.Errorf("%.1f set-ups a second of both parts are sent to a server that answers 30", got)
+		t.Errorf("both parts send %.1f set-ups per second to a server with a capacity of 30", got)
 	}
 	if n := len(c.aggregators()); n < 2 {
 		t.Errorf("the aggregators of a partitioned network are %v", c.aggregators())
@@ -140,7 +140,7 @@
 	if n := len(c.aggregators()); n > 1 {
 		t.Errorf("40 s after the partition the aggregators are %v", c.aggregators())
 	}
-	// After a partition of minutes each part counts the other as dead.
+	// After a partition of several minutes each part considers the other dead.
 	c.isPartitioned = halves
 	c.run(200*second, nil)
 	c.isPartitioned = nil
@@ -150,8 +150,8 @@
 	}
 }
 
-// An aggregator whose limits contradict a member's own measurements is ejected: one that claims long waits where
-// answers come at once, and one that claims short waits where calls wait for long.
+// An aggregator whose limits contradict a member's own measurements is ejected: one that claims long waits although
+// answers arrive at once, and one that claims short waits although calls wait long.
 func TestWrongAggregatorIsEjected(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -168,18 +168,18 @@
 				c.now += m.options.AggregatorTerm // until it selects the other member
 				m.Tick(c.now)
 			}
-			liar := m.selection.aggregator
+			wrongAggregator := m.selection.aggregator
 			test.limit.key = ServerKey("s")
 			for i := 1; m.AggregatorsEjected == 0 && i < 100; i++ {
 				c.now += 200 * ms
 				m.Tick(c.now)
 				update := limitUpdate{
 					messageHeader: messageHeader{
-						kind: kindLimitUpdate, sender: liar, incarnation: 9, sequence: uint32(i),
+						kind: kindLimitUpdate, sender: wrongAggregator, incarnation: 9, sequence: uint32(i),
 					},
 					limits: []serverLimit{test.limit},
 				}
-				if err := m.Receive(c.now, liar, update.append(nil)); err != nil {
+				if err := m.Receive(c.now, wrongAggregator, update.append(nil)); err != nil {
 					t.Fatal(err)
 				}
 				m.RecordOffered(c.now, "s", 2)
@@ -188,18 +188,19 @@
 					m.RecordResult(c.now, "s", true, test.setupTime)
 				}
 			}
-			if m.AggregatorsEjected == 0 || m.selection.aggregator == liar {
-				t.Error("it is not ejected within 20 s")
+			if m.AggregatorsEjected == 0 || m.selection.aggregator == wrongAggregator {
+				t.Error("the aggregator is not ejected within 20 s")
 			}
 			if reason, isLimited := m.Throttle(c.now, "s", 2, true); isLimited {
-				t.Errorf("its limit still applies: %q", reason)
+				t.Errorf("the limit of the ejected aggregator still applies: %q", reason)
 			}
 		})
 	}
 }
 
-// A limit update that names the aggregator and a later start of it, forged or from before its clock was set back, must
-// not keep its own updates out for good: they apply again once the limits of that update have expired, and not before.
+// A limit update that names a later incarnation of the aggregator, either forged or from before its clock was set back,
+// must not block the aggregator's genuine updates for ever: they apply again once the limits of that update have
+// expired, and not before.
 func TestLimitsOfALaterStartExpire(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	m := c.members[0]
@@ -207,7 +208,7 @@
 		c.now += m.options.AggregatorTerm // until it selects the other member
 		m.Tick(c.now)
 	}
-	const genuineStart, laterStart, forgedThrottle, genuineThrottle = 9, 1 << 31, 1, 200
+	const genuineIncarnation, laterIncarnation, forgedThrottle, genuineThrottle = 9, 1 << 31, 1, 200
 	receive := func(incarnation, sequence uint32, throttle int) {
 		t.Helper()
 		update := limitUpdate{
@@ -224,28 +225,28 @@
 		limit, _ := m.limits.find(ServerKey("s"))
 		return limit.throttle
 	}
-	receive(genuineStart, 1, genuineThrottle)
-	receive(laterStart, 1, forgedThrottle)
+	receive(genuineIncarnation, 1, genuineThrottle)
+	receive(laterIncarnation, 1, forgedThrottle)
 	expiry := c.now + m.options.limitLifetime()
 	for sequence := uint32(2); c.now < expiry; sequence++ {
-		receive(genuineStart, sequence, genuineThrottle)
+		receive(genuineIncarnation, sequence, genuineThrottle)
 		if throttle() != forgedThrottle {
-			t.Fatalf("an update of an earlier start applies %v before the limits expire", expiry-c.now)
+			t.Fatalf("an update of an earlier incarnation applies %v before the limits expire", expiry-c.now)
 		}
 		c.now += 250 * ms
 		m.Tick(c.now)
 	}
-	receive(genuineStart, 100, genuineThrottle)
+	receive(genuineIncarnation, 100, genuineThrottle)
 	if throttle() != genuineThrottle {
-		t.Error("the aggregator's own update does not apply once the limits have expired")
+		t.Error("the genuine update does not apply after the limits have expired")
 	}
-	receive(genuineStart, 99, forgedThrottle)
+	receive(genuineIncarnation, 99, forgedThrottle)
 	if throttle() != genuineThrottle {
-		t.Error("an update that was overtaken applies")
+		t.Error("an out-of-order update applies")
 	}
 }
 
-// Memory stays bounded whatever servers are named.
+// Memory stays bounded however many servers are named.
 func TestMemoryIsBounded(t *testing.T) {
 	c := newCluster(t, 4, 2)
 	m := c.members[0]
@@ -263,11 +264,11 @@
 	byID, byKey := len(m.servers.byID), len(m.servers.byKey)
 	aggregates, datagrams := len(m.aggregator.servers), len(m.outbox.queue)
 	if byID > maxServers || byKey > maxServers || aggregates > maxAggregates || datagrams > 2*4+16 {
-		t.Errorf("%d and %d servers, %d aggregates and %d datagrams are kept", byID, byKey, aggregates, datagrams)
+		t.Errorf("%d servers by id, %d by key, %d aggregates and %d datagrams are kept", byID, byKey, aggregates, datagrams)
 	}
 }
 
-// After a clock jump a member reports nothing measured before, and applies no limit received before.
+// After a clock jump a member reports no earlier measurements and applies no earlier limits.
 func TestClockJumpVoidsMeasurements(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	m := c.members[0]
@@ -286,7 +287,7 @@
 		}
 		report, isReport := decoded.(*loadReport)
 		if isReport && len(report.samples) > 0 && report.samples[0].offered != [priorityCount]int{} {
-			t.Errorf("it reports what it measured before the jump: %+v", report.samples[0])
+			t.Errorf("the member reports a measurement from before the jump: %+v", report.samples[0])
 		}
 	}
 }
@@ -305,13 +306,13 @@
 	}
 	m, err := New(0, Options{Controllers: 1, LatencyThreshold: latencyThreshold})
 	if err != nil || m.NextDeadline() != neverDue || m.Tick(second) != nil {
-		t.Errorf("a single controller sends datagrams, or %v", err)
+		t.Errorf("a single controller must be accepted and send no datagrams: error %v", err)
 	}
 }
 
-// A limit applies at servers that a member uses for the first time. (It once applied only at those that the member
-// had sent something to: with a thousand controllers, throttled calls went to all the others, 20 a second at each of a
-// dozen servers that answered 33.)
+// A limit applies to servers that a member uses for the first time. Limits once applied only to servers that the member
+// had already sent set-ups to: with a thousand controllers, throttled calls went to all other servers, 20 per second to
+// each of a dozen servers that could answer 33.
 func TestLimitAppliesToServersUsedForTheFirstTime(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	m := c.members[0]
--- a/internal/overload/trace_test.go
+++ b/internal/overload/trace_test.go
@@ -24,7 +24,7 @@
 	tracePriorities       = 4
 )
 
-// traceServer is a simulated server that answers capacity set-ups a second.
+// A traceServer is a simulated server that answers capacity set-ups per second.
 type traceServer struct {
 	id       string
 	capacity float64
@@ -32,34 +32,34 @@
 	queue    []traceAttempt
 }
 
-// traceAttempt is a set-up that waits at a traceServer.
+// A traceAttempt is a set-up that is queued at a traceServer.
 type traceAttempt struct {
 	member int
 	sentAt time.Duration
 }
 
-// traceDatagram is a datagram on its way.
+// A traceDatagram is a datagram in transit.
 type traceDatagram struct {
 	arrival  time.Duration
 	from, to int
 	payload  []byte
 }
 
-// traceRun drives several members through a scripted overload and hashes all that they send and decide.
+// A traceRun drives several members through a scripted overload and hashes everything that they send and decide.
 type traceRun struct {
-	t           *testing.T
-	now         time.Duration
-	rng         *rand.Rand
-	digest      hash.Hash
-	members     []*overload.Member // nil: the member is down
-	incarnation []uint32
-	clockOffset []time.Duration
-	servers     []traceServer
-	inFlight    []traceDatagram
-	liarSeq     uint32
-	datagrams   int
-	decisions   int
-	totals      overload.Counters
+	t              *testing.T
+	now            time.Duration
+	rng            *rand.Rand
+	digest         hash.Hash
+	members        []*overload.Member // nil: the member is down
+	incarnation    []uint32
+	clockOffset    []time.Duration
+	servers        []traceServer
+	inFlight       []traceDatagram
+	forgedSequence uint32
+	datagrams      int
+	decisions      int
+	totals         overload.Counters
 }
 
 func newTraceRun(t *testing.T, seed uint64) *traceRun {
@@ -112,28 +112,28 @@
 	r.members[i] = nil
 }
 
-// clock is the reading of a member's own clock.
+// clock returns the reading of a member's own clock.
 func (r *traceRun) clock(i int) time.Duration { return r.now + r.clockOffset[i] }
 
 func (r *traceRun) record(values ...any) { _, _ = fmt.Fprintln(r.digest, values...) }
 
-// elapsed is the time since the run began.
+// elapsed returns the time since the run began.
 func (r *traceRun) elapsed() time.Duration { return r.now - 1000*time.Second }
 
-// between says whether the run is at a second in [from, to).
-func (r *traceRun) between(from, to int) bool {
+// isBetween reports whether the elapsed time in seconds is in [from, to).
+func (r *traceRun) isBetween(from, to int) bool {
 	return r.elapsed() >= time.Duration(from)*time.Second && r.elapsed() < time.Duration(to)*time.Second
 }
 
-// partitioned says whether datagrams between two members are lost now.
-func (r *traceRun) partitioned(a, b int) bool { return r.between(45, 62) && a%2 != b%2 }
+// isPartitioned reports whether a partition now separates two members.
+func (r *traceRun) isPartitioned(a, b int) bool { return r.isBetween(45, 62) && a%2 != b%2 }
 
-// offeredRate is the number of calls a second that all members offer now.
+// offeredRate returns the rate of calls per second that all members together offer now.
 func (r *traceRun) offeredRate() float64 {
 	switch {
-	case r.between(10, 40), r.between(70, 100):
+	case r.isBetween(10, 40), r.isBetween(70, 100):
 		return 160
-	case r.between(110, 120):
+	case r.isBetween(110, 120):
 		return 0
 	}
 	return 50
@@ -165,8 +165,8 @@
 func (r *traceRun) serveCalls() {
 	for k := range r.servers {
 		s := &r.servers[k]
-		if k == 2 && r.between(74, 84) {
-			continue // the server hangs
+		if k == 2 && r.isBetween(74, 84) {
+			continue // the server does not respond
 		}
 		s.tokens += s.capacity * traceStep.Seconds()
 		for ; s.tokens >= 1 && len(s.queue) > 0; s.tokens-- {
@@ -188,11 +188,11 @@
 	}
 }
 
-// send puts a datagram on its way: some are lost, repeated or corrupted.
+// send puts a datagram into the network: some are lost, duplicated or corrupted.
 func (r *traceRun) send(from, to int, payload []byte) {
 	r.datagrams++
 	r.record("datagram", r.now, from, to, payload)
-	if r.rng.Float64() < 0.1 || r.partitioned(from, to) {
+	if r.rng.Float64() < 0.1 || r.isPartitioned(from, to) {
 		return
 	}
 	if r.rng.IntN(200) == 0 {
@@ -222,20 +222,21 @@
 	r.inFlight = rest
 }
 
-// lie sends limit updates, load reports and membership digests with false figures in the name of the last member.
-func (r *traceRun) lie() {
-	liar := len(r.members) - 1
-	if !r.between(30, 36) && !r.between(88, 96) || r.elapsed()%(500*time.Millisecond) != 0 {
+// sendForged sends limit updates, load reports and membership digests with false values that claim the last member as
+// their sender.
+func (r *traceRun) sendForged() {
+	claimedSender := len(r.members) - 1
+	if !r.isBetween(30, 36) && !r.isBetween(88, 96) || r.elapsed()%(500*time.Millisecond) != 0 {
 		return
 	}
-	r.liarSeq++
+	r.forgedSequence++
 	header := func(kind byte) []byte {
 		b := []byte{1<<4 | kind}
-		b = protowire.AppendVarint(b, uint64(liar))
+		b = protowire.AppendVarint(b, uint64(claimedSender))
 		b = protowire.AppendVarint(b, 90)
-		return protowire.AppendVarint(b, uint64(r.liarSeq))
+		return protowire.AppendVarint(b, uint64(r.forgedSequence))
 	}
-	for to := range liar {
+	for to := range claimedSender {
 		update := protowire.AppendVarint(header(2), uint64(len(r.members)))
 		report := protowire.AppendVarint(header(1), 50<<1|1)
 		for _, s := range r.servers {
@@ -247,24 +248,24 @@
 			report = protowire.AppendVarint(report, 900)
 			report = protowire.AppendVarint(report, 4000)
 		}
-		r.send(liar, to, update)
-		r.send(liar, to, report)
+		r.send(claimedSender, to, update)
+		r.send(claimedSender, to, report)
 		digest := protowire.AppendVarint(header(3), 1)
 		digest = protowire.AppendVarint(digest, uint64(len(r.members)))
-		r.send(liar, to, append(digest, 0x55))
+		r.send(claimedSender, to, append(digest, 0x55))
 	}
 }
 
-// script stops, restarts, freezes and floods members at fixed times.
+// script applies faults to members at fixed times: stops, restarts, clock jumps and a flood of servers.
 func (r *traceRun) script() {
 	at := func(second int) bool { return r.elapsed() == time.Duration(second)*time.Second }
 	switch {
 	case at(20):
-		victim := 0
+		stopped := 0
 		for _, m := range r.members {
-			victim = m.Aggregator()
+			stopped = m.Aggregator()
 		}
-		r.stop(victim)
+		r.stop(stopped)
 	case at(66):
 		for i, m := range r.members {
 			if m == nil {
@@ -278,7 +279,7 @@
 		r.stop(1)
 		r.start(1)
 	}
-	if r.between(80, 82) && r.members[0] != nil {
+	if r.isBetween(80, 82) && r.members[0] != nil {
 		id := fmt.Sprintf("transient-%d", r.elapsed()/traceStep)
 		r.members[0].RecordOffered(r.clock(0), id, 1)
 	}
@@ -309,7 +310,7 @@
 	}
 }
 
-// Members send the same datagrams and make the same decisions as when the committed hashes were made.
+// Members send the same datagrams and make the same decisions as when the committed hashes were recorded.
 func TestTraceIsUnchanged(t *testing.T) {
 	var lines strings.Builder
 	for seed := range uint64(8) {
@@ -320,7 +321,7 @@
 			r.deliver()
 			r.offerCalls()
 			r.serveCalls()
-			r.lie()
+			r.sendForged()
 			r.tick()
 		}
 		for i, m := range r.members {
@@ -337,7 +338,7 @@
 	goldentest.CompareFile(t, "testdata/golden/trace.txt", []byte(lines.String()))
 }
 
-// Recording and throttling allocate nothing for a server that is known.
+// Recording and throttling allocate nothing for a known server.
 func TestRecordingDoesNotAllocate(t *testing.T) {
 	now := 100 * time.Second
 	m, err := overload.New(now, overload.Options{Controllers: 3, LatencyThreshold: traceLatencyThreshold})
@@ -354,6 +355,6 @@
 		m.RecordOverload(now, "server")
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations for a call, want none", allocations)
+		t.Errorf("%v allocations per call, want none", allocations)
 	}
 }
