--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -32,24 +32,24 @@
 	}
 	return []goldentest.Message{
 		encode("report", &loadReport{messageHeader: header(kindLoadReport), span: 50, overloaded: true, samples: samples}),
-		encode("report without sights", &loadReport{messageHeader: largestHeader(kindLoadReport), span: maxWait}),
-		encode("report cut to its limit", &loadReport{
+		encode("report without samples", &loadReport{messageHeader: largestHeader(kindLoadReport), span: maxWait}),
+		encode("report truncated to the maximum length", &loadReport{
 			messageHeader: header(kindLoadReport),
 			samples:       make([]serverSample, 100),
 		}),
-		encode("word", &limitUpdate{messageHeader: header(kindLimitUpdate), aliveMembers: 290, limits: limits}),
-		encode("word without terms", &limitUpdate{messageHeader: largestHeader(kindLimitUpdate), aliveMembers: maxMembers}),
-		encode("word cut to its limit", &limitUpdate{
+		encode("limit update", &limitUpdate{messageHeader: header(kindLimitUpdate), aliveMembers: 290, limits: limits}),
+		encode("limit update without limits", &limitUpdate{messageHeader: largestHeader(kindLimitUpdate), aliveMembers: maxMembers}),
+		encode("limit update truncated to the maximum length", &limitUpdate{
 			messageHeader: header(kindLimitUpdate),
 			limits:        make([]serverLimit, 100),
 		}),
-		encode("roll", &membershipDigest{
+		encode("membership digest", &membershipDigest{
 			messageHeader: header(kindMembershipDigest),
 			aliveMembers:  9,
 			peakMembers:   300,
 			members:       []byte{0xff, 0x01, 0x80},
 		}),
-		encode("roll cut to its limit", &membershipDigest{
+		encode("membership digest truncated to the maximum length", &membershipDigest{
 			messageHeader: largestHeader(kindMembershipDigest),
 			aliveMembers:  maxMembers,
 			peakMembers:   maxMembers,
@@ -60,7 +60,7 @@
 		{Name: "received of an unknown kind", Bytes: []byte{protocolVersion<<4 | 9, 1, 1, 1, 0}},
 		{Name: "received cut short", Bytes: []byte{protocolVersion<<4 | byte(kindLimitUpdate), 1, 1, 1, 0, 1, 2}},
 		{
-			Name:  "received with a tier out of range",
+			Name:  "received with a priority out of range",
 			Bytes: []byte{protocolVersion<<4 | byte(kindLimitUpdate), 1, 1, 1, 0, 1, 2, 3, priorityCount, 0, 0, 0},
 		},
 	}
@@ -69,27 +69,27 @@
 // dumpMessage writes a decoded message in the format of the golden file.
 func dumpMessage(b *strings.Builder, m message) {
 	writeHeader := func(label string, h *messageHeader) {
-		_, _ = fmt.Fprintf(b, "%s kind %d from %d boot %d sequence %d",
+		_, _ = fmt.Fprintf(b, "%s kind %d from %d incarnation %d sequence %d",
 			label, h.kind, h.sender, h.incarnation, h.sequence)
 	}
 	switch m := m.(type) {
 	case *loadReport:
 		writeHeader("report", &m.messageHeader)
-		_, _ = fmt.Fprintf(b, " span %d pressed %v\n", m.span, m.overloaded)
+		_, _ = fmt.Fprintf(b, " span %d overloaded %v\n", m.span, m.overloaded)
 		for _, s := range m.samples {
-			_, _ = fmt.Fprintf(b, "  server %06x offered %v second-choice %d answered %d wait %d pressed %v\n",
+			_, _ = fmt.Fprintf(b, "  server %06x offered %v overflow %d answered %d wait %d overloaded %v\n",
 				s.key, s.offered, s.overflow, s.answered, s.wait, s.overloaded)
 		}
 	case *limitUpdate:
-		writeHeader("word", &m.messageHeader)
-		_, _ = fmt.Fprintf(b, " live %d\n", m.aliveMembers)
+		writeHeader("limit update", &m.messageHeader)
+		_, _ = fmt.Fprintf(b, " alive %d\n", m.aliveMembers)
 		for _, l := range m.limits {
-			_, _ = fmt.Fprintf(b, "  server %06x tier %d part %d second-choice %d wait %d\n",
+			_, _ = fmt.Fprintf(b, "  server %06x priority %d throttle %d overflow throttle %d wait %d\n",
 				l.key, l.priority, l.throttle, l.overflowThrottle, l.wait)
 		}
 	case *membershipDigest:
-		writeHeader("roll", &m.messageHeader)
-		_, _ = fmt.Fprintf(b, " live %d most %d present %x\n", m.aliveMembers, m.peakMembers, m.members)
+		writeHeader("membership digest", &m.messageHeader)
+		_, _ = fmt.Fprintf(b, " alive %d peak %d members %x\n", m.aliveMembers, m.peakMembers, m.members)
 	}
 }
 
