--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport carries datagrams between call controllers over UDP. It owns the socket, signs what is sent,
-// verifies the sender of what arrives, and paces. It does not interpret the payloads.
+// Package transport exchanges datagrams between call controllers over UDP. It owns the socket, paces and signs outgoing
+// datagrams, and verifies the sender of incoming ones. It does not interpret the payloads.
 package transport
 
 import (
@@ -14,40 +14,40 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxDatagramBytes is the length of the longest datagram, its signature included, that the platform permits.
+// MaxDatagramBytes is the maximum length of a datagram, including its signature, that the platform permits.
 const MaxDatagramBytes = 256
 
-// Bounds of the queues, in datagrams.
+// Queue capacities, in datagrams.
 const (
 	maxOutgoing = 2048
 	maxIncoming = 1024
 )
 
-// Pacing of what is sent.
+// Pacing of outgoing datagrams.
 const (
-	defaultRate = 2000 // datagrams a second
+	defaultRate = 2000 // datagrams per second
 	burstSize   = 64   // datagrams
 )
 
-// readErrorDelay is the pause after a failed read, so that a lasting error does not cause a busy loop.
+// readErrorDelay is the delay after a failed read, so that a persistent error does not cause a busy loop.
 const readErrorDelay = time.Millisecond
 
-// A Datagram is a datagram that arrived.
+// A Datagram is a received datagram without its signature.
 type Datagram struct {
-	From    int // number of the peer; -1: the address is not a peer's
+	From    int // number of the sending peer; -1: the address is not a peer's
 	Payload []byte
 }
 
-// Options of a Conn.
+// Options configure a Conn.
 type Options struct {
-	Listen string   // address of the socket
-	Peers  []string // addresses by number
-	// Keys are those that sign and verify; the first one signs. During a key rotation all controllers accept two.
-	// Without keys only datagrams from the addresses of Peers are accepted.
+	Listen string   // local address of the socket
+	Peers  []string // addresses of all controllers, by number
+	// Keys sign and verify datagrams; the first one signs. During a key rotation all controllers accept two keys.
+	// Without keys, datagrams are not signed and only those from the addresses in Peers are accepted.
 	Keys [][]byte
-	Rate int // datagrams a second that are sent; 0: 2,000
-	// OnArrival is called on a goroutine of the Conn when Receive has datagrams to return. It is called once until
-	// Receive takes them, so that a flood of datagrams cannot fill the event loop's queue.
+	Rate int // limit on datagrams sent per second; 0: 2,000
+	// OnArrival is called on a goroutine of the Conn when a datagram arrives and none was waiting for Receive. It is
+	// not called again until Receive is, so that a flood of datagrams cannot fill the event loop's queue.
 	OnArrival func()
 }
 
@@ -62,18 +62,18 @@
 	wg          sync.WaitGroup
 	counters    counters
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	keys     keyring
 	incoming []Datagram
 }
 
-// An outgoingDatagram waits to be signed and sent.
+// An outgoingDatagram is queued to be signed and sent.
 type outgoingDatagram struct {
 	to      int
 	payload []byte
 }
 
-// Open opens the socket and starts the goroutines that send and receive. Close ends them.
+// Open opens the socket and starts the goroutines that send and receive. Close stops them.
 func Open(o Options) (*Conn, error) {
 	if o.Rate <= 0 {
 		o.Rate = defaultRate
@@ -116,14 +116,14 @@
 // Addr returns the address that the socket is bound to.
 func (c *Conn) Addr() string { return c.socket.LocalAddr().String() }
 
-// Close closes the socket and waits for the goroutines. Queued datagrams are not sent.
+// Close closes the socket and waits for the goroutines to end. Queued datagrams are not sent.
 func (c *Conn) Close() {
 	close(c.done)
 	_ = c.socket.Close()
 	c.wg.Wait()
 }
 
-// SetKeys replaces the keys.
+// SetKeys replaces the keys. It may be called while datagrams are sent and received.
 func (c *Conn) SetKeys(keys [][]byte) error {
 	if err := CheckKeys(keys); err != nil {
 		return fmt.Errorf("transport: %w", err)
@@ -140,10 +140,10 @@
 	return c.keys
 }
 
-// Counters returns the counters.
+// Counters returns a snapshot of the counters.
 func (c *Conn) Counters() Counters { return c.counters.snapshot() }
 
-// Send queues a datagram for a peer. It never blocks: a datagram that finds the queue full is dropped and counted.
+// Send queues a datagram for a peer. It never blocks: if the queue is full, the datagram is dropped and counted.
 func (c *Conn) Send(to int, payload []byte) {
 	if to < 0 || to >= len(c.peers) {
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// sendLoop sends queued datagrams at the permitted rate until Close. Without pacing, an aggregator's updates to all
-// members would overflow buffers of the network and be lost together.
+// sendLoop sends queued datagrams at the configured rate until Close. Without pacing, an aggregator's updates to all
+// members would overflow network buffers and be lost in bulk.
 func (c *Conn) sendLoop() {
 	limiter := rate.NewLimiter(rate.Limit(c.options.Rate), burstSize)
 	for {
@@ -172,7 +172,7 @@
 	}
 }
 
-// pause waits and returns true, or false as soon as the Conn is closed.
+// pause waits for a duration and returns true, or returns false as soon as the Conn is closed.
 func (c *Conn) pause(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -185,8 +185,8 @@
 	}
 }
 
-// write signs and sends a datagram. A failed write counts as a loss: the peer does not listen, or the socket is
-// closing.
+// write signs and sends a datagram. A failed write, because the peer does not listen or the socket is being closed,
+// counts as a dropped datagram.
 func (c *Conn) write(d outgoingDatagram) {
 	b := c.currentKeys().sign(d.payload)
 	if len(b) > MaxDatagramBytes {
@@ -208,7 +208,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for example the ICMP refusal of an earlier datagram
+		if err != nil { // for example ICMP port unreachable in reply to an earlier datagram
 			c.pause(readErrorDelay)
 			continue
 		}
@@ -249,7 +249,7 @@
 	}
 }
 
-// enqueue queues a copy of a payload for Receive unless the queue is full. isFirst: the queue was empty.
+// enqueue queues a copy of a payload for Receive unless the queue is full. isFirst means that the queue was empty.
 func (c *Conn) enqueue(from int, payload []byte) (isFirst, isQueued bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// goldenCases are payloads with the keys that sign them. Their names are those of the golden file.
+// goldenCases are payloads with the keys that sign them. Their names appear in the golden file.
 var goldenCases = []struct {
 	name    string
 	keys    [][]byte
@@ -37,7 +37,7 @@
 	return c, raw
 }
 
-// Datagrams are sent as the committed bytes, and these are received as what was sent.
+// Datagrams are sent as the committed bytes, and receiving these bytes yields the payload that was sent.
 func TestGoldenDatagrams(t *testing.T) {
 	var sent []goldentest.Message
 	var conns []*Conn
--- a/internal/transport/keys.go
+++ b/internal/transport/keys.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// SignatureBytes is the length of a signature: an HMAC-SHA-256 (RFC 2104), truncated to 128 bits (RFC 2104, section 5).
+// SignatureBytes is the length of a signature: HMAC-SHA-256 (RFC 2104), truncated to 128 bits (RFC 2104, section 5).
 const SignatureBytes = 16
 
-// Bounds of keys.
+// Limits on keys.
 const (
 	maxKeys     = 2
 	minKeyBytes = 16
@@ -21,17 +21,19 @@
 // CheckKeys returns an error if there are too many keys or one is too short.
 func CheckKeys(keys [][]byte) error {
 	if len(keys) > maxKeys {
-		return fmt.Errorf("%d keys, %d at most: the signing one and its predecessor or successor", len(keys), maxKeys)
+		return fmt.Errorf("%d keys, at most %d are allowed: the signing key and its predecessor or successor",
+			len(keys), maxKeys)
 	}
 	for i, key := range keys {
 		if len(key) < minKeyBytes {
-			return fmt.Errorf("key %d has %d bytes, %d at least", i+1, len(key), minKeyBytes)
+			return fmt.Errorf("key %d has %d bytes, at least %d are required", i+1, len(key), minKeyBytes)
 		}
 	}
 	return nil
 }
 
-// LoadKeys reads keys from a file: one a line in hexadecimal, the one that signs first. Text after a # is a comment.
+// LoadKeys reads keys from a file with one hexadecimal key per line, the signing key first. Text after a # is a
+// comment.
 func LoadKeys(path string) ([][]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +49,7 @@
 	return keys, nil
 }
 
-// parseKeys parses the text of a file of keys, of which there must be one at least.
+// parseKeys parses the text of a key file, which must contain at least one key.
 func parseKeys(text string) ([][]byte, error) {
 	var keys [][]byte
 	for i, line := range strings.Split(text, "\n") {
@@ -57,21 +59,21 @@
 			continue
 		}
 		key, err := hex.DecodeString(digits)
-		if err != nil { // not wrapped: it would reveal a part of the key
+		if err != nil { // not wrapped, as its text would reveal a part of the key
 			return nil, fmt.Errorf("line %d is not hexadecimal", i+1)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("no key: write one with %d hexadecimal digits at least", 2*minKeyBytes)
+		return nil, fmt.Errorf("no key found: add one of at least %d hexadecimal digits", 2*minKeyBytes)
 	}
 	return keys, nil
 }
 
-// A keyring holds the keys in use: the first one signs, any of them verifies. Without keys nothing is signed.
+// A keyring holds the active keys: the first one signs, any of them verifies. An empty keyring signs nothing.
 type keyring [][]byte
 
-// sign returns the payload followed by its signature, or the payload itself if there are no keys.
+// sign returns the payload followed by its signature, or just the payload if there are no keys.
 func (k keyring) sign(payload []byte) []byte {
 	if len(k) == 0 {
 		return payload
@@ -81,7 +83,7 @@
 	return append(signed, sign(k[0], payload)...)
 }
 
-// verify returns the payload of a signed datagram, and whether its signature is valid.
+// verify returns the payload of a signed datagram and whether its signature is valid.
 func (k keyring) verify(datagram []byte) (payload []byte, isValid bool) {
 	length := len(datagram) - SignatureBytes
 	if length < 0 {
--- a/internal/transport/keys_test.go
+++ b/internal/transport/keys_test.go
@@ -10,7 +10,7 @@
 	path := filepath.Join(t.TempDir(), "keys")
 	for _, test := range []struct {
 		name, text string
-		want       int // keys; 0: an error
+		want       int // number of keys; 0: an error
 	}{
 		{"two", "000102030405060708090a0b0c0d0e0f # signs\n\n101112131415161718191a1b1c1d1e1f\n", 2},
 		{"empty", "", 0},
@@ -28,6 +28,6 @@
 		})
 	}
 	if _, err := LoadKeys(path + ".not"); err == nil {
-		t.Error("a file that does not exist was read")
+		t.Error("no error for a file that does not exist")
 	}
 }
