--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -7,13 +7,13 @@
 	"hash/crc32"
 )
 
-// A file is a header and the data. The header, little-endian:
+// A file consists of a header and the data. The header is little-endian:
 //
 //	offset  bytes  content
-//	0       8      magic, with the version of the format in the last byte
+//	0       8      magic number; its last byte is the version of the format
 //	8       8      serial
 //	16      8      length of the data
-//	24      4      CRC-32C of the header before it and of the data
+//	24      4      CRC-32C of the preceding header bytes and the data
 const (
 	serialOffset   = 8
 	lengthOffset   = 16
@@ -26,11 +26,11 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Errors of a damaged file.
+// Errors returned by decode.
 var (
-	errForeign     = errors.New("not a value of this program")
-	errWrongSerial = errors.New("the file name has another serial")
-	errChecksum    = errors.New("damaged: wrong checksum")
+	errUnknownFormat    = errors.New("not a value file: header missing or unknown magic number")
+	errSerialMismatch   = errors.New("serial in the header differs from that in the file name")
+	errChecksumMismatch = errors.New("damaged: checksum mismatch")
 )
 
 func encode(serial uint64, data []byte) []byte {
@@ -47,20 +47,20 @@
 	return crc32.Update(sum, castagnoli, data)
 }
 
-// decode returns the data of a file, which must have the serial.
+// decode verifies the content of a file with the given serial and returns its data.
 func decode(file []byte, serial uint64) ([]byte, error) {
 	if len(file) < headerBytes || [8]byte(file) != magic {
-		return nil, errForeign
+		return nil, errUnknownFormat
 	}
 	data := file[headerBytes:]
 	if length := binary.LittleEndian.Uint64(file[lengthOffset:]); length != uint64(len(data)) {
-		return nil, fmt.Errorf("torn: %d bytes of %d", len(data), length)
+		return nil, fmt.Errorf("torn write: %d of %d data bytes present", len(data), length)
 	}
 	if binary.LittleEndian.Uint64(file[serialOffset:]) != serial {
-		return nil, errWrongSerial
+		return nil, errSerialMismatch
 	}
 	if binary.LittleEndian.Uint32(file[checksumOffset:]) != checksum(file, data) {
-		return nil, errChecksum
+		return nil, errChecksumMismatch
 	}
 	return data, nil
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -7,20 +7,21 @@
 	"path/filepath"
 )
 
-// An FS is the directory of a Store. File names have no directory part. Tests replace it by one that crashes.
+// An FS is the directory of a Store. File names have no directory part. Tests use an implementation that simulates
+// crashes.
 type FS interface {
-	// Write creates or truncates the file, writes it and syncs it.
+	// Write creates or truncates a file, writes its content and syncs it.
 	Write(name string, data []byte) error
 	Rename(from, to string) error
 	Remove(name string) error
 	Read(name string) ([]byte, error)
-	// List returns the names of all files.
+	// List returns the names of all files, in any order.
 	List() ([]string, error)
 	// SyncDir makes renames and removals durable.
 	SyncDir() error
 }
 
-// directory is a directory of the operating system.
+// A directory is an FS in a directory of the operating system.
 type directory string
 
 func (d directory) path(name string) string { return filepath.Join(string(d), name) }
@@ -41,14 +42,14 @@
 
 func (d directory) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Read rejects files that are larger than any value, so that a foreign file does not fill the memory.
+// Read rejects files that are larger than any value, so that an unrelated file cannot exhaust the memory.
 func (d directory) Read(name string) ([]byte, error) {
 	info, err := os.Stat(d.path(name))
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > MaxValueBytes+headerBytes {
-		return nil, fmt.Errorf("%d bytes are more than a value has", info.Size())
+		return nil, fmt.Errorf("file of %d bytes exceeds the maximum size of a value", info.Size())
 	}
 	return os.ReadFile(d.path(name))
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -15,8 +15,8 @@
 	data []byte
 }
 
-// goldenSaves returns the values in the order in which they are saved: more values of one name than the store
-// keeps, an empty one, and one with every byte.
+// goldenSaves returns values in the order in which they are saved: more versions of one name than the store keeps, an
+// empty value, and a value with every byte.
 func goldenSaves() []goldenSave {
 	everyByte := make([]byte, 256)
 	for i := range everyByte {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Save writes the committed bytes.
+// Save writes files that are identical to the committed ones.
 func TestGoldenStateIsSavedTheSame(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps small durable state in a directory: one value per name, replaced atomically, with the values
-// before it as a fallback. A crash at any moment leaves the old value or the new one, never a part of either. The
-// package does not know the meaning of the values.
+// Package store keeps small durable state in a directory: one value per name, replaced atomically, with previous
+// versions as a fallback. A crash at any moment leaves the old value or the new one, never a partial one. The package
+// does not interpret the values.
 package store
 
 import (
@@ -11,31 +11,31 @@
 	"strings"
 )
 
-// maxVersions is how many values of one name are kept: the current one and those before it.
+// maxVersions is the number of versions that are kept per name, including the current one.
 const maxVersions = 3
 
-// MaxValueBytes bounds the size of a value.
+// MaxValueBytes is the maximum size of a value.
 const MaxValueBytes = 256 << 20
 
 // Errors of Load.
 var (
-	// ErrNotFound says that there is no value of a name.
-	ErrNotFound = errors.New("store: no value has that name")
-	// ErrNoIntactValue says that all values of a name are damaged.
-	ErrNoIntactValue = errors.New("no value is intact")
+	// ErrNotFound means that a name has no value.
+	ErrNotFound = errors.New("store: value not found")
+	// ErrNoIntactValue means that all versions of a value are damaged.
+	ErrNoIntactValue = errors.New("all versions are damaged")
 )
 
-// A Store is a directory of values. It is for one process and one goroutine at a time.
+// A Store is a directory of values. Only one process and one goroutine may use it at a time.
 type Store struct{ fs FS }
 
-// A Value is one version of the value of a name.
+// A Value is one version of a named value.
 type Value struct {
-	Serial       uint64 // grows with each Save
+	Serial       uint64 // increases with each Save
 	Data         []byte
-	DamagedFiles []string // newer files that are damaged, each with its error
+	DamagedFiles []string // damaged files of newer versions, each with its error
 }
 
-// Open returns the store in a directory, which it creates if necessary.
+// Open returns the store in a directory and creates the directory if necessary.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -43,18 +43,18 @@
 	return &Store{directory(dir)}, nil
 }
 
-// OpenFS returns a store on another file system.
+// OpenFS returns a store on the given file system.
 func OpenFS(fs FS) *Store { return &Store{fs} }
 
-// Save stores a value and returns its serial. When it returns nil, the value survives a crash; when it returns an
-// error, the value before it is still there.
+// Save stores a value and returns its serial. If it returns nil, the value is durable; if it returns an error, the
+// previous value is still intact.
 func (s *Store) Save(name string, data []byte) (uint64, error) {
 	if !isValidName(name) {
-		return 0, fmt.Errorf("store: %q is not a name: use at most %d lower-case letters and digits",
+		return 0, fmt.Errorf("store: invalid name %q: use 1 to %d lower-case letters and digits",
 			name, maxNameBytes)
 	}
 	if len(data) > MaxValueBytes {
-		return 0, fmt.Errorf("store: %s: %d bytes are more than %d", name, len(data), MaxValueBytes)
+		return 0, fmt.Errorf("store: %s: value of %d bytes exceeds the maximum of %d", name, len(data), MaxValueBytes)
 	}
 	older, err := s.serials(name)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	serial := uint64(1)
 	if len(older) > 0 {
-		serial = older[0] + 1 // the serial of a damaged value is not used again
+		serial = older[0] + 1 // the serial of a damaged version is not reused
 	}
 	if err := s.write(name, serial, data); err != nil {
 		return 0, fmt.Errorf("store: %s: %w", name, err)
@@ -71,7 +71,7 @@
 	return serial, nil
 }
 
-// write writes and syncs a temporary file, renames it to its final name and syncs the directory.
+// write writes and syncs a temporary file, renames it to the final name and syncs the directory.
 func (s *Store) write(name string, serial uint64, data []byte) error {
 	temporary := name + temporarySuffix
 	if err := s.fs.Write(temporary, encode(serial, data)); err != nil {
@@ -83,8 +83,8 @@
 	return s.fs.SyncDir()
 }
 
-// removeOld removes versions up to the first that it cannot remove. The new value is safe by now; the next Save
-// tries again.
+// removeOld removes versions until the first failure, which it ignores: the new value is already durable, and the next
+// Save tries again.
 func (s *Store) removeOld(name string, serials []uint64) {
 	for _, serial := range serials {
 		if s.remove(name, serial) != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// remove removes one version; it is no error if it does not exist.
+// remove removes one version. It is not an error if the version does not exist.
 func (s *Store) remove(name string, serial uint64) error {
 	err := s.fs.Remove(fileName(name, serial))
 	if errors.Is(err, os.ErrNotExist) {
@@ -102,8 +102,8 @@
 	return err
 }
 
-// Load returns the newest intact value. Value.Bad names the damaged files that are newer; the caller must log them.
-// The error is ErrNotFound if there is no value, and wraps ErrNoIntactValue if all are damaged.
+// Load returns the newest intact version of a value. Value.DamagedFiles lists the newer files that are damaged; the
+// caller must log them. The error is ErrNotFound if there is no version, and wraps ErrNoIntactValue if all are damaged.
 func (s *Store) Load(name string) (Value, error) {
 	var v Value
 	serials, err := s.serials(name)
@@ -125,7 +125,7 @@
 	return v, ErrNotFound
 }
 
-// History returns the intact values of a name that are older than the serial, the newest first.
+// History returns the intact versions of a value that are older than the serial, newest first.
 func (s *Store) History(name string, serial uint64) []Value {
 	serials, err := s.serials(name)
 	if err != nil {
@@ -151,7 +151,7 @@
 	return decode(file, serial)
 }
 
-// Delete removes all values of a name.
+// Delete removes all versions of a value.
 func (s *Store) Delete(name string) error {
 	serials, err := s.serials(name)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Names returns the names that have values, sorted.
+// Names returns the sorted names of all values.
 func (s *Store) Names() ([]string, error) {
 	files, err := s.fs.List()
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,12 +13,12 @@
 
 var errCrash = errors.New("crashed")
 
-// crashingDisk is a file system that crashes after some steps. Until SyncDir, a crash may keep or undo renames and
-// removals; a file that was being written is there in part.
+// A crashingDisk is a file system that crashes after some steps. Renames and removals that SyncDir has not made durable
+// may be kept or undone by a crash; a file that was being written is truncated at random.
 type crashingDisk struct {
-	files     map[string][]byte // as programs see them
-	durable   map[string][]byte // as a crash leaves them at least
-	stepsLeft int               // until the crash; negative: no crash
+	files     map[string][]byte // as seen by programs
+	durable   map[string][]byte // as left by a crash
+	stepsLeft int               // steps until the crash; negative: no crash
 	rng       *rand.Rand
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// step reports whether the disk still works and counts one step.
+// step counts a step and reports whether the disk has not crashed yet.
 func (d *crashingDisk) step() bool {
 	if d.stepsLeft == 0 {
 		return false
@@ -49,11 +49,11 @@
 		return errCrash
 	}
 	d.files[name] = bytes.Clone(data)
-	if !d.step() { // written, not synced: the disk has any part of it
+	if !d.step() { // written but not synced: any prefix may be on the disk
 		d.durable[name] = bytes.Clone(data[:d.rng.IntN(len(data)+1)])
 		return errCrash
 	}
-	d.durable[name] = d.files[name] // with its directory entry: a system may sync more than requested
+	d.durable[name] = d.files[name] // with its directory entry, as a system may sync more than requested
 	return nil
 }
 
@@ -63,7 +63,7 @@
 	}
 	d.files[to] = d.files[from]
 	delete(d.files, from)
-	if d.rng.IntN(2) == 0 { // it may reach the disk before SyncDir
+	if d.rng.IntN(2) == 0 { // may reach the disk before SyncDir
 		d.durable[to] = d.files[to]
 		delete(d.durable, from)
 	}
@@ -106,7 +106,7 @@
 	return all, nil
 }
 
-// crash restores what is durable and ends the failure.
+// crash discards everything that is not durable and makes the disk work again.
 func (d *crashingDisk) crash() {
 	d.files = make(map[string][]byte)
 	for n, b := range d.durable {
@@ -117,8 +117,8 @@
 
 func value(i int) []byte { return []byte(strings.Repeat(fmt.Sprint("value ", i, " "), 1+i%5)) }
 
-// A crash at any step of Save leaves the old value or the new one. A value whose Save succeeded is never lost, and
-// the store works after the crash.
+// A crash at any step of Save leaves the old value or the new one. A value whose Save succeeded is never lost, and the
+// store works after the crash.
 func TestCrashAtEachStep(t *testing.T) {
 	crashes := 0
 	for seed := range uint64(40) {
@@ -129,12 +129,12 @@
 		}
 	}
 	if crashes < 100 {
-		t.Errorf("only %d saves crashed", crashes)
+		t.Errorf("%d saves crashed, want at least 100", crashes)
 	}
 }
 
-// crashDuringSave saves values, crashes after some steps of the sixth Save, and checks what is left. It reports
-// whether the crash came before the end of Save.
+// crashDuringSave saves five values, crashes after some steps of the sixth Save, and checks the value that is left. It
+// reports whether the crash occurred before the end of Save.
 func crashDuringSave(t *testing.T, seed uint64, steps int) (crashed bool) {
 	t.Helper()
 	d := newCrashingDisk(seed)
@@ -182,8 +182,9 @@
 	}
 }
 
-// openWithTen returns a store with ten values of the name table, and one of another name with that prefix.
-func openWithTen(t *testing.T) (s *Store, dir string) {
+// openWithTenVersions returns a store with ten versions of the value named table, and a value whose name has that name
+// as a prefix.
+func openWithTenVersions(t *testing.T) (s *Store, dir string) {
 	t.Helper()
 	dir = filepath.Join(t.TempDir(), "state")
 	s, err := Open(dir)
@@ -191,7 +192,7 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load("table"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("no value: %v", err)
+		t.Errorf("Load from an empty store: error %v, want ErrNotFound", err)
 	}
 	for i := range 10 {
 		if n, err := s.Save("table", value(i)); err != nil || n != uint64(i+1) {
@@ -204,9 +205,9 @@
 	return s, dir
 }
 
-// Load skips damaged values, names them and returns the newest intact one. Save removes the oldest values.
+// Load skips damaged versions, lists them and returns the newest intact one. Save removes the oldest versions.
 func TestFallback(t *testing.T) {
-	s, dir := openWithTen(t)
+	s, dir := openWithTenVersions(t)
 	files, err := filepath.Glob(filepath.Join(dir, "table-*"))
 	if err != nil || len(files) != maxVersions {
 		t.Fatal(files, err)
@@ -226,16 +227,16 @@
 	}
 	changeFile(t, files[0], empty)
 	if _, err := s.Load("table"); !errors.Is(err, ErrNoIntactValue) || errors.Is(err, ErrNotFound) {
-		t.Errorf("no intact value: %v", err)
+		t.Errorf("Load of a value without an intact version: error %v, want ErrNoIntactValue", err)
 	}
 	if n, err := s.Save("table", value(1)); err != nil || n != 11 {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("Save after all versions were damaged: serial %d, error %v, want serial 11", n, err)
 	}
 }
 
-// A name with another character than lower-case letters and digits, or of a wrong length, is rejected.
+// A name that is empty, too long or has characters other than lower-case letters and digits is rejected.
 func TestInvalidNames(t *testing.T) {
-	s, _ := openWithTen(t)
+	s, _ := openWithTenVersions(t)
 	for _, name := range []string{"", "../x", "A", strings.Repeat("x", 64)} {
 		if _, err := s.Save(name, nil); err == nil {
 			t.Errorf("%q was accepted as a name", name)
--- a/internal/store/version.go
+++ b/internal/store/version.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// The file of a version is NAME-SERIAL.value, the serial with leading zeros.
+// A version is stored in the file NAME-SERIAL.value, in which the serial has leading zeros.
 const (
 	valueSuffix     = ".value"
 	temporarySuffix = ".writing"
 	serialDigits    = 20
 )
 
-// maxNameBytes bounds the length of a name.
+// maxNameBytes is the maximum length of a name.
 const maxNameBytes = 63
 
 func fileName(name string, serial uint64) string {
 	return fmt.Sprintf("%s-%0*d%s", name, serialDigits, serial, valueSuffix)
 }
 
-// isValidName reports whether a name consists of lower-case letters and digits only: it must not lead out of the
-// directory or look like the file of another name.
+// isValidName reports whether a name consists of lower-case letters and digits only. Other characters could lead out of
+// the directory or make a file look like that of another name.
 func isValidName(name string) bool {
 	isForbidden := func(c rune) bool {
 		isLetter := c >= 'a' && c <= 'z'
@@ -32,7 +32,7 @@
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(name, isForbidden)
 }
 
-// nameOf returns the name whose value is in a file.
+// nameOf returns the name of the value that a file holds, and whether the file holds one.
 func nameOf(file string) (name string, isValue bool) {
 	name, _, isValue = strings.Cut(file, "-")
 	if !isValue || !strings.HasSuffix(file, valueSuffix) || !isValidName(name) {
@@ -41,7 +41,7 @@
 	return name, true
 }
 
-// serialOf returns the serial of a file if it is a version of the name.
+// serialOf returns the serial of a file and whether the file is a version of the named value.
 func serialOf(name, file string) (serial uint64, isVersion bool) {
 	rest, hasName := strings.CutPrefix(file, name+"-")
 	digits, hasSuffix := strings.CutSuffix(rest, valueSuffix)
@@ -52,7 +52,7 @@
 	return serial, err == nil
 }
 
-// serials returns the serials of all versions of a name, the newest first.
+// serials returns the serials of all versions of a value, newest first.
 func (s *Store) serials(name string) ([]uint64, error) {
 	files, err := s.fs.List()
 	if err != nil {
