--- a/internal/overload/aggregator.go
+++ b/internal/overload/aggregator.go
@@ -9,11 +9,11 @@
 	minReportLifetime        = 2500 * time.Millisecond // a report expires after the longer of this time
 	reportLifetimePeriods    = 5                       // and this many report intervals
 	pollInterval             = 1000 * time.Millisecond // interval at which members that report rarely are polled
-	overloadEvidenceLifetime = 3000 * time.Millisecond // evidence of overload, which causes frequent reports, expires
+	overloadEvidenceLifetime = 3000 * time.Millisecond // evidence of overload requests frequent reports for this time
 )
 
-// overloadQuorum: all members are asked for frequent reports only when at least one in overloadQuorum living members
-// reports an overload. Among hundreds of members, one always sees a late answer even when no server is overloaded.
+// overloadQuorum is the number of living members of which at least one must report an overload before all are asked for
+// frequent reports. Among hundreds of members, one always sees a late answer even when no server is overloaded.
 const overloadQuorum = 50
 
 // An aggregator sums the load reports of the members that selected this controller and determines the total rate at
--- a/internal/overload/limits.go
+++ b/internal/overload/limits.go
@@ -87,7 +87,7 @@
 		}
 	}
 	if !m.isOwnAggregator() && !m.trust.isEstablished() {
-		// If a faulty aggregator could throttle all calls, no answers would be left that show that it is wrong.
+		// If a wrong aggregator could throttle all calls, no answers would remain to refute its claims.
 		probability = min(probability, maxUntrustedThrottle)
 	}
 	if m.rng.Float64() < probability {
--- a/internal/overload/reporting.go
+++ b/internal/overload/reporting.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/admission"
 )
 
-// reportJitter: the time of a report varies at random over the interval divided by reportJitter.
+// reportJitter is the divisor of the report interval that gives the range of the random jitter of reports.
 const reportJitter = 5
 
 // A reportSchedule determines when and how often load reports are sent.
--- a/internal/overload/selection.go
+++ b/internal/overload/selection.go
@@ -111,7 +111,7 @@
 	m.selection.unansweredReports++
 	if m.selection.unansweredReports > maxUnansweredReports {
 		m.AggregatorsUnresponsive++
-		m.eject(now, ejectedAsSilent)
+		m.eject(now, ejectedAsUnresponsive)
 		m.selection.unansweredReports = 1
 	}
 }
--- a/internal/overload/trace_test.go
+++ b/internal/overload/trace_test.go
@@ -170,18 +170,18 @@
 		}
 		s.tokens += s.capacity * traceStep.Seconds()
 		for ; s.tokens >= 1 && len(s.queue) > 0; s.tokens-- {
-			x := s.queue[0]
+			attempt := s.queue[0]
 			s.queue = s.queue[1:]
-			m := r.members[x.member]
+			m := r.members[attempt.member]
 			if m == nil {
 				continue
 			}
-			took := r.now - x.sentAt + 60*time.Millisecond
+			setupTime := r.now - attempt.sentAt + 60*time.Millisecond
 			answered := r.rng.IntN(12) > 0
-			measured := took + time.Duration(r.rng.IntN(20)/19)*time.Millisecond
-			m.RecordResult(r.clock(x.member), s.id, answered, measured)
-			if took > traceLatencyThreshold {
-				m.RecordOverload(r.clock(x.member), s.id)
+			measured := setupTime + time.Duration(r.rng.IntN(20)/19)*time.Millisecond
+			m.RecordResult(r.clock(attempt.member), s.id, answered, measured)
+			if setupTime > traceLatencyThreshold {
+				m.RecordOverload(r.clock(attempt.member), s.id)
 			}
 		}
 		s.tokens = min(s.tokens, 1)
--- a/internal/overload/trust.go
+++ b/internal/overload/trust.go
@@ -81,7 +81,7 @@
 // Reasons for an ejection. An unresponsive aggregator becomes eligible again as soon as a message from it is received;
 // a wrong one does not.
 const (
-	ejectedAsSilent ejectionReason = iota
+	ejectedAsUnresponsive ejectionReason = iota
 	ejectedAsWrong
 )
 
