--- a/cmd/olivectl/golden_agent_test.go
+++ b/cmd/olivectl/golden_agent_test.go
@@ -83,7 +83,7 @@
 		Partitioned: true, FrequentReports: true, Ejected: 1,
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond, Limited: true,
-			ClaimedWait: 900 * time.Millisecond, ThrottleChance: [4]float64{0.98, 0.5, 0, 1},
+			ClaimedWait: 900 * time.Millisecond, ThrottleProbability: [4]float64{0.98, 0.5, 0, 1},
 			OverflowChance: 0.25, Throttled: 12,
 		}},
 		Aggregates: []overload.AggregateState{{
--- a/cmd/olivectl/peers.go
+++ b/cmd/olivectl/peers.go
@@ -150,7 +150,7 @@
 	count := 0
 	for i := range s.Servers {
 		server := &s.Servers[i]
-		isThrottled := server.ThrottleChance != [len(server.ThrottleChance)]float64{}
+		isThrottled := server.ThrottleProbability != [len(server.ThrottleProbability)]float64{}
 		if server.Limited && isThrottled {
 			count++
 		}
@@ -219,8 +219,8 @@
 		return "none"
 	}
 	var parts []string
-	for priority := len(s.ThrottleChance) - 1; priority >= 0; priority-- {
-		parts = append(parts, fmt.Sprintf("%.0f%%", 100*s.ThrottleChance[priority]))
+	for priority := len(s.ThrottleProbability) - 1; priority >= 0; priority-- {
+		parts = append(parts, fmt.Sprintf("%.0f%%", 100*s.ThrottleProbability[priority]))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/adminapi/overload.go
+++ b/internal/adminapi/overload.go
@@ -78,7 +78,7 @@
 // formatThrottleChances returns the chances of all priorities, separated by spaces.
 func formatThrottleChances(s *overload.ServerState) string {
 	var texts []string
-	for _, chance := range s.ThrottleChance {
+	for _, chance := range s.ThrottleProbability {
 		texts = append(texts, formatFloat(chance))
 	}
 	return strings.Join(texts, " ")
@@ -86,14 +86,14 @@
 
 func parseThrottleChances(s *overload.ServerState, text string) (err error) {
 	for i, field := range strings.Fields(text) {
-		if i == len(s.ThrottleChance) {
+		if i == len(s.ThrottleProbability) {
 			break
 		}
 		chance, parseErr := strconv.ParseFloat(field, 64)
 		if parseErr != nil {
 			err = parseErr
 		}
-		s.ThrottleChance[i] = chance
+		s.ThrottleProbability[i] = chance
 	}
 	return err
 }
--- a/internal/overload/state.go
+++ b/internal/overload/state.go
@@ -26,14 +26,14 @@
 
 // A ServerState holds a member's measurements of a server and the limit that it applies.
 type ServerState struct {
-	ID              string
-	PendingAttempts int                    `json:"Waiting"`
-	SetupTime       Time                   `json:"Wait"`   // smoothed; 0: no recent answer
-	Limited         bool                   `json:"Obeyed"` // a limit is in force
-	ClaimedWait     Time                   `json:"Claim"`  // set-up time claimed by the aggregator
-	ThrottleChance  [priorityCount]float64 `json:"Hold"`   // by priority
-	OverflowChance  float64                `json:"Over"`   // for set-ups that are not a call's first choice
-	Throttled       int                    `json:"Held"`   // number of throttled calls
+	ID                  string
+	PendingAttempts     int                    `json:"Waiting"`
+	SetupTime           Time                   `json:"Wait"`   // smoothed; 0: no recent answer
+	Limited             bool                   `json:"Obeyed"` // a limit is in force
+	ClaimedWait         Time                   `json:"Claim"`  // set-up time claimed by the aggregator
+	ThrottleProbability [priorityCount]float64 `json:"Hold"`   // by priority
+	OverflowChance      float64                `json:"Over"`   // for set-ups that are not a call's first choice
+	Throttled           int                    `json:"Held"`   // number of throttled calls
 }
 
 // An AggregateState is an aggregator's view of a server. Rates are events per second.
@@ -105,7 +105,7 @@
 	}
 	if s.Limited {
 		s.ClaimedWait = v.limit.claimedWait()
-		s.ThrottleChance = v.limit.throttleProbabilities()
+		s.ThrottleProbability = v.limit.throttleProbabilities()
 		s.OverflowChance = v.limit.overflowProbability()
 	}
 	return s
--- a/internal/sim/overloadpeers/overloadpeers_test.go
+++ b/internal/sim/overloadpeers/overloadpeers_test.go
@@ -133,7 +133,7 @@
 		return
 	}
 	for _, server := range state.Servers {
-		isThrottled := server.ThrottleChance != [4]float64{}
+		isThrottled := server.ThrottleProbability != [4]float64{}
 		if !isThrottled || d.wasThrottled[server.ID] {
 			continue
 		}
