--- a/cmd/olivectl/golden_agent_test.go
+++ b/cmd/olivectl/golden_agent_test.go
@@ -84,7 +84,7 @@
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond, Limited: true,
 			ClaimedWait: 900 * time.Millisecond, ThrottleProbability: [4]float64{0.98, 0.5, 0, 1},
-			OverflowChance: 0.25, Throttled: 12,
+			OverflowProbability: 0.25, Throttled: 12,
 		}},
 		Aggregates: []overload.AggregateState{{
 			Key: overload.ServerKey("s-1"), Offered: 40.5, Overflow: 2, Answered: 30,
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -23,7 +23,7 @@
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond,
 			Limited: true, ClaimedWait: 900 * time.Millisecond,
-			ThrottleProbability: [4]float64{0.98, 0.5, 0, 1}, OverflowChance: 0.25, Throttled: 12,
+			ThrottleProbability: [4]float64{0.98, 0.5, 0, 1}, OverflowProbability: 0.25, Throttled: 12,
 		}},
 		Aggregates: []overload.AggregateState{
 			{Key: 0x0102ff, Offered: 40.5, Overflow: 2, Answered: 30, Wait: time.Second, WaitReports: 100, AdmittedRate: 28},
@@ -128,7 +128,7 @@
 	for _, v := range s.Servers {
 		_, _ = fmt.Fprintf(b, "server %q waiting %d wait %v obeyed %v claim %v hold %v over %v held %d\n",
 			v.ID, v.PendingAttempts, v.SetupTime, v.Limited, v.ClaimedWait,
-			v.ThrottleProbability, v.OverflowChance, v.Throttled)
+			v.ThrottleProbability, v.OverflowProbability, v.Throttled)
 	}
 	for _, v := range s.Aggregates {
 		_, _ = fmt.Fprintf(b, "sum %06x offered %v over %v answered %v wait %v told %d budget %v\n",
--- a/internal/adminapi/overload.go
+++ b/internal/adminapi/overload.go
@@ -53,7 +53,7 @@
 	boolProperty("obeyed", func(s *overload.ServerState) *bool { return &s.Limited }),
 	durationProperty("claim", func(s *overload.ServerState) *time.Duration { return &s.ClaimedWait }),
 	{name: "hold", format: formatThrottleChances, parse: parseThrottleChances},
-	floatProperty("over", func(s *overload.ServerState) *float64 { return &s.OverflowChance }),
+	floatProperty("over", func(s *overload.ServerState) *float64 { return &s.OverflowProbability }),
 	intProperty("held", func(s *overload.ServerState) *int { return &s.Throttled }),
 }
 
--- a/internal/adminapi/overload_test.go
+++ b/internal/adminapi/overload_test.go
@@ -36,7 +36,7 @@
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond,
 			Limited: true, ClaimedWait: 900 * time.Millisecond,
-			ThrottleProbability: [4]float64{0.98, 0.5, 0, 0}, OverflowChance: 0.25, Throttled: 12,
+			ThrottleProbability: [4]float64{0.98, 0.5, 0, 0}, OverflowProbability: 0.25, Throttled: 12,
 		}},
 		Aggregates: []overload.AggregateState{
 			{Key: overload.ServerKey("s-1"), Offered: 40, Overflow: 2, Answered: 30,
--- a/internal/overload/state.go
+++ b/internal/overload/state.go
@@ -32,7 +32,7 @@
 	Limited             bool                   `json:"Obeyed"` // a limit is in force
 	ClaimedWait         Time                   `json:"Claim"`  // set-up time claimed by the aggregator
 	ThrottleProbability [priorityCount]float64 `json:"Hold"`   // by priority
-	OverflowChance      float64                `json:"Over"`   // for set-ups that are not a call's first choice
+	OverflowProbability float64                `json:"Over"`   // for set-ups that are not a call's first choice
 	Throttled           int                    `json:"Held"`   // number of throttled calls
 }
 
@@ -106,7 +106,7 @@
 	if s.Limited {
 		s.ClaimedWait = v.limit.claimedWait()
 		s.ThrottleProbability = v.limit.throttleProbabilities()
-		s.OverflowChance = v.limit.overflowProbability()
+		s.OverflowProbability = v.limit.overflowProbability()
 	}
 	return s
 }
