--- a/cmd/olivectl/golden_agent_test.go
+++ b/cmd/olivectl/golden_agent_test.go
@@ -79,7 +79,7 @@
 func goldenState() *overload.State {
 	return &overload.State{
 		Self: 3, Peers: 300, Incarnation: 77, Aggregator: 5, AggregatorFor: 3 * time.Second,
-		LimitsAge: 400 * time.Millisecond, AliveMembers: 260, PeakMembers: 300,
+		LastContactAge: 400 * time.Millisecond, AliveMembers: 260, PeakMembers: 300,
 		Partitioned: true, FrequentReports: true, Ejected: 1,
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond, Limited: true,
--- a/cmd/olivectl/peers.go
+++ b/cmd/olivectl/peers.go
@@ -104,7 +104,7 @@
 		instance,
 		strconv.Itoa(s.Self),
 		strconv.Itoa(s.Aggregator),
-		formatAge(s.LimitsAge),
+		formatAge(s.LastContactAge),
 		fmt.Sprintf("%d of %d", s.AliveMembers, s.Peers),
 		strconv.Itoa(countThrottledServers(s)),
 		strconv.Itoa(s.Counters.Throttled),
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -18,7 +18,7 @@
 func goldenState() *overload.State {
 	return &overload.State{
 		Self: 3, Peers: 300, Incarnation: 77,
-		Aggregator: 5, AggregatorFor: 3 * time.Second, LimitsAge: 400 * time.Millisecond,
+		Aggregator: 5, AggregatorFor: 3 * time.Second, LastContactAge: 400 * time.Millisecond,
 		AliveMembers: 260, PeakMembers: 300, Partitioned: true, FrequentReports: true, Ejected: 1,
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond,
@@ -118,7 +118,7 @@
 func dumpState(b *strings.Builder, s *overload.State) {
 	_, _ = fmt.Fprintf(b,
 		"share %d of %d boot %d teller %d since %v heard %v live %d most %d part %v often %v shunned %d\n",
-		s.Self, s.Peers, s.Incarnation, s.Aggregator, s.AggregatorFor, s.LimitsAge,
+		s.Self, s.Peers, s.Incarnation, s.Aggregator, s.AggregatorFor, s.LastContactAge,
 		s.AliveMembers, s.PeakMembers, s.Partitioned, s.FrequentReports, s.Ejected)
 	c := &s.Counters
 	_, _ = fmt.Fprintf(b,
--- a/internal/adminapi/overload.go
+++ b/internal/adminapi/overload.go
@@ -29,7 +29,7 @@
 	uintProperty("boot", 10, func(s *overload.State) *uint32 { return &s.Incarnation }),
 	intProperty("teller", func(s *overload.State) *int { return &s.Aggregator }),
 	durationProperty("since", func(s *overload.State) *time.Duration { return &s.AggregatorFor }),
-	durationProperty("heard", func(s *overload.State) *time.Duration { return &s.LimitsAge }),
+	durationProperty("heard", func(s *overload.State) *time.Duration { return &s.LastContactAge }),
 	intProperty("live", func(s *overload.State) *int { return &s.AliveMembers }),
 	intProperty("most", func(s *overload.State) *int { return &s.PeakMembers }),
 	boolProperty("part", func(s *overload.State) *bool { return &s.Partitioned }),
--- a/internal/adminapi/overload_test.go
+++ b/internal/adminapi/overload_test.go
@@ -31,7 +31,7 @@
 func TestOverloadStateRoundTrip(t *testing.T) {
 	s := &overload.State{
 		Self: 3, Peers: 300, Incarnation: 77,
-		Aggregator: 5, AggregatorFor: 3 * time.Second, LimitsAge: 400 * time.Millisecond,
+		Aggregator: 5, AggregatorFor: 3 * time.Second, LastContactAge: 400 * time.Millisecond,
 		AliveMembers: 290, PeakMembers: 300, FrequentReports: true, Ejected: 1,
 		Servers: []overload.ServerState{{
 			ID: "s-1", PendingAttempts: 2, SetupTime: 130 * time.Millisecond,
--- a/internal/overload/state.go
+++ b/internal/overload/state.go
@@ -12,7 +12,7 @@
 	Incarnation     uint32 `json:"Boot"`
 	Aggregator      int    `json:"Teller"`
 	AggregatorFor   Time   `json:"Since"` // time since the aggregator was selected
-	LimitsAge       Time   `json:"Heard"` // time since the last message from the aggregator; negative: never
+	LastContactAge  Time   `json:"Heard"` // time since the last message from the aggregator; negative: never
 	AliveMembers    int    `json:"Live"`  // estimated number of living members
 	PeakMembers     int    `json:"Of"`    // highest number of living members in the last minutes
 	Partitioned     bool   `json:"Part"`  // under 9/10 of the peak are alive: the network may be partitioned
@@ -65,7 +65,7 @@
 		Incarnation:     m.options.Incarnation,
 		Aggregator:      m.selection.aggregator,
 		AggregatorFor:   now - m.selection.since,
-		LimitsAge:       -1,
+		LastContactAge:  -1,
 		AliveMembers:    m.membership.aliveMembers,
 		PeakMembers:     max(m.membership.peakMembers, m.membership.aliveMembers),
 		FrequentReports: m.reportsFrequently(now),
@@ -75,7 +75,7 @@
 	}
 	s.Partitioned = s.AliveMembers*10 < s.PeakMembers*9
 	if m.selection.lastContactAt > 0 {
-		s.LimitsAge = now - m.selection.lastContactAt
+		s.LastContactAge = now - m.selection.lastContactAt
 	}
 	hasReporters := m.aggregator.lastReportAt > 0 && now-m.aggregator.lastReportAt <= 2*m.options.HeartbeatInterval
 	if m.isOwnAggregator() || hasReporters {
--- a/internal/sim/cluster/overload_test.go
+++ b/internal/sim/cluster/overload_test.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		selected[s.Aggregator] = append(selected[s.Aggregator], n.name)
-		if s.LimitsAge < 0 && s.Aggregator != s.Self {
+		if s.LastContactAge < 0 && s.Aggregator != s.Self {
 			return fmt.Errorf("%s has received nothing from its aggregator", n.name)
 		}
 	}
