--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -6,16 +6,16 @@
 	"olivedale/internal/call"
 )
 
-// QueuedSetups returns the number of set-ups that are not written.
+// QueuedSetups returns the number of set-ups that have not been written yet.
 func (c *Conn) QueuedSetups() int { return len(c.queue) }
 
-// OpenAttempts returns the number of set-ups that are written and not answered.
+// OpenAttempts returns the number of set-ups that have been written but not answered.
 func (c *Conn) OpenAttempts() int { return len(c.openAttempts) }
 
-// invite queues a set-up until the end of the iteration, or while the exchange is dialled: what the same iteration
-// brings of its caller or of the exchange still stops it.
+// invite queues a set-up until the end of the iteration, or until the exchange is connected. A cancellation by the
+// caller, or a drain or removal of the exchange, that arrives in the same iteration therefore still prevents the send.
 func (c *Conn) invite(s call.Setup) {
-	if c.isDraining || c.isRemoved { // whatever was decided, nothing new goes to an exchange that drains
+	if c.isDraining || c.isRemoved { // never send a set-up to a draining or removed exchange
 		c.endAttempt(s, call.NotSent)
 		return
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-// flushQueue sends the queued set-ups if the exchange is connected; otherwise they wait for the dial that follows.
+// flushQueue sends the queued set-ups if the exchange is connected; otherwise they stay queued until the next dial.
 func (c *Conn) flushQueue() {
 	if c.conn == nil {
 		return
@@ -39,15 +39,16 @@
 	}
 }
 
-// send writes a set-up. One whose time ran out while it waited for the connection is not sent, nor one that would lie
-// in a buffer because the exchange reads nothing: it would reach the exchange after that drains or the caller left.
+// send writes a set-up. It does not send a set-up whose deadline has passed while it was queued. Nor does it send while
+// earlier output is still buffered because the exchange is not reading: the set-up could then arrive after the exchange
+// has started to drain or the caller has given up.
 func (c *Conn) send(s call.Setup) {
 	now := c.set.loop.Now()
 	if now >= s.Deadline || c.conn.Socket().OutboundBuffered() > 0 {
 		c.endAttempt(s, call.NotSent)
 		return
 	}
-	s.Timeout = s.Deadline - now // the time of a dial has passed
+	s.Timeout = s.Deadline - now // deduct the time spent waiting for a dial
 	var err error
 	c.write(func(b []byte) []byte {
 		b, err = c.protocol.appendInvite(b, s)
@@ -59,7 +60,7 @@
 		return
 	}
 	c.openAttempts[s.ID] = s.Attempt
-	c.releases.remove(s.ID) // an earlier attempt's: sent again on another connection it would end this one
+	c.releases.remove(s.ID) // belongs to an earlier attempt; if resent on a new connection, it would end this one
 	c.set.Counters.Invites++
 	c.activity.recordSetup(now)
 }
@@ -68,8 +69,8 @@
 	c.set.endAttempt(c.id, s.ID, s.Attempt, end)
 }
 
-// Cancel gives an attempt up. A set-up that waits in the queue, for the dial or for the end of the iteration, is
-// removed; for one that was written a cancel is written. It reports whether the set-up had not been written.
+// Cancel cancels an attempt. A set-up that is still queued is removed from the queue; for one that has been written, a
+// cancellation is sent. It reports whether the set-up had not been written yet.
 func (c *Conn) Cancel(id string, attempt int) (unsent bool) {
 	i := slices.IndexFunc(c.queue, func(s call.Setup) bool { return s.ID == id && s.Attempt == attempt })
 	if i >= 0 {
@@ -84,7 +85,7 @@
 	return false
 }
 
-// failQueue ends the set-ups that are not written.
+// failQueue ends all queued attempts with the given result.
 func (c *Conn) failQueue(end call.AttemptEnd) {
 	queue := c.queue
 	c.queue = nil
@@ -93,8 +94,8 @@
 	}
 }
 
-// releaseUnsettledAttempts has the attempts released on the next connection whose answer may be lost with this one. The
-// exchange may have established them, and would keep a call that nobody knows of.
+// releaseUnsettledAttempts schedules releases, to be sent on the next connection, for attempts whose answer may have
+// been lost with this connection. Otherwise the exchange might keep calls established that no caller knows of.
 func (c *Conn) releaseUnsettledAttempts() {
 	now := c.set.loop.Now()
 	for id, attempt := range c.protocol.unsettledAttempts() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// failOpenAttempts ends the set-ups that are written and not answered.
+// failOpenAttempts ends all attempts that were written but not answered.
 func (c *Conn) failOpenAttempts(end call.AttemptEnd) {
 	for id, attempt := range c.openAttempts {
 		c.set.endAttempt(c.id, id, attempt, end)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,13 +16,13 @@
 	"olivedale/internal/reachability"
 )
 
-// A Conn is the connection to one exchange: it carries all calls there. It survives the loss of its socket, is dialled
-// again, and keeps what waits for that. It is keyed by the exchange's id, because a successor may have the same
-// address.
+// A Conn is the logical connection to one exchange and carries all calls to it. It outlives its socket: after a
+// disconnect it dials again and keeps pending set-ups and releases. It is keyed by the exchange's id rather than its
+// address, because a successor may reuse the address.
 type Conn struct {
-	// Stats count the calls to this exchange.
+	// Stats counts the calls to this exchange.
 	Stats Stats
-	// StartedAt is when the exchange's process started, in Unix time; 0: not known.
+	// StartedAt is when the exchange's process started, in Unix time; 0 if unknown.
 	StartedAt time.Duration
 
 	set          *Set
@@ -31,27 +31,27 @@
 	pool         int
 	protocol     protocol
 	conn         *eventloop.Conn // nil while disconnected
-	input        input           // of conn
+	input        input           // decodes the data received on conn
 	dialing      dialState
 	isDraining   bool
 	isRemoved    bool
-	queue        []call.Setup   // set-ups that are not written
-	openAttempts map[string]int // set-ups that are written and not answered: the attempt by the call's id
+	queue        []call.Setup   // set-ups that have not been written yet
+	openAttempts map[string]int // attempts that were written but not answered, by call id
 	releases     pendingReleases
-	resendAt     time.Duration // when to send releases again that were not due on this connection, 0: there are none
+	resendAt     time.Duration // when to resend releases that were not due when the connection opened; 0 if none
 	reach        reachability.Detector
-	probes       []*Probe // those that are dialled or open
+	probes       []*Probe // probes that are being dialled or are open
 	activity     activity
 
-	disconnectLoggedAt time.Duration // 0: never
+	disconnectLoggedAt time.Duration // 0 if never
 }
 
-// Stats are counts of one exchange, as an audit shows them.
+// Stats holds the statistics of one exchange, as reported by audits.
 type Stats struct {
 	Attempts    int
 	Established int
 	Dropped     int
-	// RateLimit is the limit of set-ups a second that the admission control holds; 0: none.
+	// RateLimit is the number of set-ups per second that admission control allows; 0 if unlimited.
 	RateLimit float64
 }
 
@@ -69,39 +69,39 @@
 // ID returns the exchange's id.
 func (c *Conn) ID() string { return c.id }
 
-// Pool returns the pool that the exchange is in.
+// Pool returns the pool that the exchange belongs to.
 func (c *Conn) Pool() int { return c.pool }
 
 // IsConnected reports whether the exchange is connected.
 func (c *Conn) IsConnected() bool { return c.conn != nil }
 
-// IsDraining reports whether the exchange takes no new calls.
+// IsDraining reports whether the exchange no longer accepts new calls.
 func (c *Conn) IsDraining() bool { return c.isDraining }
 
-// Connection returns the current connection; nil while the exchange is not connected.
+// Connection returns the current connection, or nil while the exchange is disconnected.
 func (c *Conn) Connection() *eventloop.Conn { return c.conn }
 
-// RememberedCalls returns the number of calls that the protocol keeps state of.
+// RememberedCalls returns the number of calls for which the protocol keeps state.
 func (c *Conn) RememberedCalls() int { return c.protocol.rememberedCalls() }
 
-// write appends to the output of the current connection; without one it does nothing.
+// write appends to the output of the current connection. It does nothing while disconnected.
 func (c *Conn) write(write func([]byte) []byte) {
 	if c.conn != nil {
 		c.set.loop.Write(c.conn, write)
 	}
 }
 
-// owns reports whether a socket is the current connection's.
+// owns reports whether socket belongs to the current connection.
 func (c *Conn) owns(socket gnet.Conn) bool { return c.conn != nil && c.conn.Socket() == socket }
 
-// HandleSocketData handles what a socket has received, if it is the current connection's.
+// HandleSocketData handles data received on a socket, if the socket belongs to the current connection.
 func (c *Conn) HandleSocketData(socket gnet.Conn, data []byte) {
 	if c.owns(socket) {
 		c.HandleData(data)
 	}
 }
 
-// HandleData handles data from the exchange, if that is connected.
+// HandleData handles data from the exchange. It does nothing while disconnected.
 func (c *Conn) HandleData(data []byte) {
 	conn := c.conn
 	if conn == nil {
@@ -119,8 +119,8 @@
 	conn.RecordInput(now, complete, c.input.hasPartialMessage())
 }
 
-// HandleClose handles the end of a socket, if it is the current connection's. The answers that the exchange gave before
-// a failed write count: an established call is not lost.
+// HandleClose handles the close of a socket, if the socket belongs to the current connection. If a write failed, it
+// first processes the data received before, so that answers already given by the exchange are not lost.
 func (c *Conn) HandleClose(socket gnet.Conn, err error) {
 	if !c.owns(socket) {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// disconnectReason returns how attempts end on a connection that was closed with an error of gnet.
+// disconnectReason maps the error with which gnet closed a connection to the result of its open attempts.
 func disconnectReason(err error) call.AttemptEnd {
 	switch {
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
@@ -146,7 +146,7 @@
 	return call.ConnectionReset
 }
 
-// Disconnect closes the connection, ends the attempts that are open on it and dials again.
+// Disconnect closes the connection, ends its open attempts and dials again.
 func (c *Conn) Disconnect(reason call.AttemptEnd) {
 	if c.conn == nil {
 		return
@@ -161,7 +161,7 @@
 	c.Dial()
 }
 
-// closeSockets closes the connection and the probes.
+// closeSockets closes the sockets of the connection and of all probes immediately.
 func (c *Conn) closeSockets() {
 	for _, p := range slices.Clone(c.probes) {
 		if p.socket != nil {
@@ -173,17 +173,17 @@
 	}
 }
 
-// Drain stops sending set-ups, also those that are queued; established calls go on.
+// Drain stops sending set-ups, including queued ones. Established calls continue.
 func (c *Conn) Drain() {
 	c.isDraining = true
 	c.failQueue(call.NotSent)
 }
 
-// remove ends everything at an exchange that is off the discovery service's list.
+// remove ends all attempts and calls at an exchange that the discovery service no longer lists.
 func (c *Conn) remove() {
 	c.isRemoved = true
 	c.failQueue(call.NotSent)
-	c.loseCalls(lossRemoved) // releases go out before the connection is closed
+	c.loseCalls(lossRemoved) // flushes the releases before the connection is closed
 	c.closeProbes()
 	if c.conn != nil {
 		c.set.loop.Close(c.conn)
@@ -202,13 +202,13 @@
 		c.Drain()
 	}
 	c.StartedAt = startTime(e)
-	if e.Started > 0 { // a process that started since has none of the calls
+	if e.Started > 0 { // a restarted process has lost the earlier calls
 		c.dropCalls(lossRestarted, c.StartedAt)
 	}
 }
 
-// applyServerState applies what the exchange itself says of its state. From then on nothing is sent to one that drains
-// or is out of service.
+// applyServerState applies a state change reported by the exchange itself. No further set-ups are sent to an exchange
+// that is draining or out of service.
 func (c *Conn) applyServerState(state admission.ServerState) {
 	c.set.setServerState(c, state)
 	switch state {
@@ -224,8 +224,8 @@
 	}
 }
 
-// hasPendingWork reports whether the exchange waits for something that this process alone can send, or whether callers
-// may have to be notified of the loss of its calls.
+// hasPendingWork reports whether there are messages for the exchange that only this process can send, or whether
+// callers may still have to be notified that calls at the exchange were lost.
 func (c *Conn) hasPendingWork() bool {
 	if c.conn == nil && c.releases.len() > 0 {
 		return true
@@ -233,7 +233,7 @@
 	return c.isSuspect() || c.conn != nil && c.conn.HasUnreadOutput()
 }
 
-// Tick dials when that is due and drops what has expired.
+// Tick redials if due, drops expired state and checks the reachability of the exchange.
 func (c *Conn) Tick(now time.Duration) {
 	if c.dialing.isDue(now) && c.conn == nil {
 		c.Dial()
@@ -244,9 +244,9 @@
 	c.checkReachability(now)
 }
 
-// releaseOrigin returns the id of the exchange that a release comes from: the one where the call is established, if
-// that is at this connection's address. An exchange may have taken over another's address and speak on a connection
-// that was made for that one.
+// releaseOrigin returns the id of the exchange that a received release comes from. This is the exchange at which the
+// call is established if that exchange has the address of this connection: an exchange may have taken over the address
+// of another and send on a connection that was opened to the other.
 func (c *Conn) releaseOrigin(callID string) string {
 	server := c.set.calls.BackendOf(callID)
 	other := c.set.conns[server]
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -6,30 +6,30 @@
 	"olivedale/internal/call"
 )
 
-// An input is what one connection brings.
+// An input decodes and handles the messages received on one connection.
 type input interface {
-	// handleData handles input and reports whether it has completed a message.
+	// handleData handles received data and reports whether it completed a message.
 	handleData(data []byte) (complete bool, err error)
-	// hasPartialMessage reports whether part of a message waits for the rest.
+	// hasPartialMessage reports whether an incomplete message is buffered.
 	hasPartialMessage() bool
 }
 
-// A protocol writes and reads the messages on the connections to one exchange. It may keep state of calls.
+// A protocol writes and reads the messages on the connections to one exchange. It may keep per-call state.
 type protocol interface {
-	// appendInvite appends a set-up; it fails if the protocol cannot express the set-up.
+	// appendInvite appends a set-up. It fails if the protocol cannot encode the set-up.
 	appendInvite(b []byte, s call.Setup) ([]byte, error)
-	// appendCancel appends the cancellation of an attempt that is not answered.
+	// appendCancel appends the cancellation of an unanswered attempt.
 	appendCancel(b []byte, id string, attempt int) []byte
 	// appendRelease appends the release of an established call.
 	appendRelease(b []byte, id string, attempt, cause int) []byte
-	// newInput returns the input of a new connection, which is read for as long as isOpen.
+	// newInput returns the input of a new connection. It stops handling messages once isOpen returns false.
 	newInput(isOpen func() bool) input
-	// reset forgets what was requested on an earlier connection.
+	// reset discards the requests that were sent on an earlier connection.
 	reset()
-	// unsettledAttempts returns the attempts, by the call's id, of which the exchange has not said how they ended.
+	// unsettledAttempts returns, by call id, the attempts for which the exchange has not sent a final reply.
 	unsettledAttempts() map[string]int
-	// expire drops the state of calls that are over.
+	// expire drops the state of calls that have ended.
 	expire(now time.Duration)
-	// rememberedCalls returns the number of calls that state is kept of.
+	// rememberedCalls returns the number of calls for which state is kept.
 	rememberedCalls() int
 }
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -1,6 +1,6 @@
-// Package backend owns the connections to the exchanges, which speak SIP or H.248: dialling, set-ups that wait for a
-// connection, open attempts, releases that are not confirmed, and the detection of unresponsive connections. It never
-// decides where a call goes and never speaks to callers.
+// Package backend manages the connections to the exchanges, which speak SIP or H.248. It handles dialling, queued
+// set-ups, open attempts, unconfirmed releases and the detection of unresponsive connections. It does not route calls
+// and does not communicate with callers.
 package backend
 
 import (
@@ -17,7 +17,7 @@
 	"olivedale/internal/eventloop"
 )
 
-// A Dialer opens a connection to an exchange, away from the event loop.
+// A Dialer opens a connection to an exchange. It is called outside the event loop and may block.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
 // DialTCP is the Dialer for TCP.
@@ -25,36 +25,36 @@
 	return net.DialTimeout("tcp", address, timeout)
 }
 
-// Counters count what happens on the connections to all exchanges.
+// Counters counts events on the connections to all exchanges.
 type Counters struct {
-	Invites           int // set-ups that were sent
-	Unsayable         int // set-ups that the exchange's protocol cannot express
+	Invites           int // set-ups sent
+	Unsayable         int // set-ups that the exchange's protocol cannot encode
 	Dials             int
 	DialsFailed       int
-	Probes            int // connections that were asked for to find whether an exchange is there
+	Probes            int // connections opened to check whether an exchange is reachable
 	ProbesFailed      int
-	ExchangesLost     int // exchanges that showed no life for so long that their calls were over
+	ExchangesLost     int // exchanges that were silent for so long that their calls were ended
 	ConnectionsLost   int
-	Strays            int // answers to nothing that is open
-	RepeatedRequests  int // transactions of exchanges that came again
-	CallsLost         int // established calls that ended without a release by their exchange
-	ReleasesDiscarded int // releases for which there was neither a connection nor memory
+	Strays            int // messages that match nothing open, and H.248 requests that could not be stored
+	RepeatedRequests  int // transactions repeated by exchanges
+	CallsLost         int // established calls that ended without a release by the exchange
+	ReleasesDiscarded int // releases dropped because there was neither a connection nor room to store them
 }
 
-// Options configure a Set.
+// Options configures a Set.
 type Options struct {
 	Loop *eventloop.Loop
-	// Name is the controller's, from which its H.248 message identifier is made.
+	// Name is the name of the controller. Its H.248 message identifier is derived from it.
 	Name string
-	// MemoryMB is the memory of the process, by which tables are bounded.
+	// MemoryMB is the memory available to the process in MB. The sizes of tables are derived from it.
 	MemoryMB int
-	// DialTimeout bounds each dial; the timeouts of unresponsive connections are multiples of it.
+	// DialTimeout limits each dial. The response timeouts are multiples of it.
 	DialTimeout time.Duration
-	// MaxProbes bounds the connections to exchanges beyond one for each.
+	// MaxProbes limits the connections to exchanges beyond one per exchange.
 	MaxProbes int
-	// Dial opens connections; nil: DialTCP.
+	// Dial opens connections; if nil, DialTCP is used.
 	Dial Dialer
-	// ReportMalformed is called for input that cannot be read.
+	// ReportMalformed is called for input that cannot be parsed.
 	ReportMalformed func(source string, err error)
 }
 
@@ -72,13 +72,13 @@
 	reportMalformed func(source string, err error)
 	conns           map[string]*Conn
 	maxProbes       int
-	openProbes      int // probes of all exchanges that are dialled or open
+	openProbes      int // probes of all exchanges that are being dialled or are open
 	isClosed        bool
 }
 
 var _ call.Backends = (*Set)(nil)
 
-// NewSet returns a set without exchanges. Attach completes it.
+// NewSet returns a set without exchanges. Attach must be called before it is used.
 func NewSet(o Options) *Set {
 	if o.Dial == nil {
 		o.Dial = DialTCP
@@ -95,22 +95,22 @@
 	}
 }
 
-// Attach binds the set to the manager of calls and to the frontends that releases of unknown calls go to.
+// Attach connects the set to the call manager and to the frontends that are notified of releases of unknown calls.
 func (s *Set) Attach(calls *call.Manager, frontends ...call.Frontend) {
 	s.calls = calls
 	s.frontends = frontends
 }
 
-// Get returns the connection to an exchange; nil if the exchange is not known.
+// Get returns the connection to an exchange, or nil if the exchange is not known.
 func (s *Set) Get(id string) *Conn { return s.conns[id] }
 
 // Len returns the number of known exchanges.
 func (s *Set) Len() int { return len(s.conns) }
 
-// All iterates over the known exchanges, in no order.
+// All iterates over the known exchanges in unspecified order.
 func (s *Set) All() iter.Seq[*Conn] { return maps.Values(s.conns) }
 
-// AddEndpoint adds an exchange of the discovery service's list, which speaks SIP. It is not dialled yet.
+// AddEndpoint adds an exchange that was found by the discovery service and speaks SIP. It does not dial.
 func (s *Set) AddEndpoint(e config.Endpoint) *Conn {
 	c := s.newConn(e.ID, e.Address, e.Pool)
 	c.protocol = newSIP(c)
@@ -120,10 +120,10 @@
 	return c
 }
 
-// AddH248Server adds a configured exchange that speaks H.248. It is not dialled yet.
+// AddH248Server adds an exchange from the configuration that speaks H.248. It does not dial.
 func (s *Set) AddH248Server(server config.H248Server) error {
 	if s.conns[server.ID] != nil {
-		return fmt.Errorf("the H.248 server %s is on the name service's list as well", server.ID)
+		return fmt.Errorf("H.248 server %q is also listed by the discovery service", server.ID)
 	}
 	c := s.newConn(server.ID, server.Address, server.Pool)
 	c.protocol = newH248(c)
@@ -131,12 +131,12 @@
 	return nil
 }
 
-// startTime is when an endpoint's process started, in Unix time; 0: not known.
+// startTime returns when an endpoint's process started, in Unix time; 0 if unknown.
 func startTime(e config.Endpoint) time.Duration {
 	return time.Duration(e.Started) * time.Millisecond
 }
 
-// UpdateEndpoint applies an endpoint update of the discovery service.
+// UpdateEndpoint applies an endpoint update from the discovery service.
 func (s *Set) UpdateEndpoint(e config.Endpoint) {
 	c := s.conns[e.ID]
 	switch {
@@ -159,9 +159,9 @@
 	}
 }
 
-// Close closes the connections to all exchanges for good. What they have sent and nobody has read is not read:
-// exchanges repeat releases that are not confirmed on the next connection. It is called outside of an iteration of the
-// loop.
+// Close permanently closes the connections to all exchanges. Received data that was not processed yet is discarded,
+// which is safe because exchanges repeat unconfirmed releases on the next connection. Close must be called outside an
+// iteration of the event loop.
 func (s *Set) Close() {
 	s.isClosed = true
 	for _, c := range s.conns {
@@ -172,21 +172,21 @@
 // IsClosed reports whether Close has been called.
 func (s *Set) IsClosed() bool { return s.isClosed }
 
-// CheckResponsiveness closes the connections that are unresponsive at a time.
+// CheckResponsiveness closes all connections that are unresponsive at the given time.
 func (s *Set) CheckResponsiveness(now time.Duration) {
 	for _, c := range s.conns {
 		c.CheckResponsiveness(now)
 	}
 }
 
-// Tick repeats dials that are due and drops what has expired.
+// Tick calls Conn.Tick for every exchange.
 func (s *Set) Tick(now time.Duration) {
 	for _, c := range s.conns {
 		c.Tick(now)
 	}
 }
 
-// HasPendingWork reports whether an exchange waits for something that this process alone can send.
+// HasPendingWork reports whether any exchange has pending work that only this process can finish.
 func (s *Set) HasPendingWork() bool {
 	for _, c := range s.conns {
 		if c.hasPendingWork() {
@@ -225,12 +225,13 @@
 	}
 }
 
-// endAttempt reports the end of an attempt to the manager of calls, but not from within a call of the manager.
+// endAttempt reports the end of an attempt to the call manager. It defers the report because the manager may be the
+// caller.
 func (s *Set) endAttempt(server, id string, attempt int, end call.AttemptEnd) {
 	s.loop.Defer(func() { s.calls.AttemptEnded(server, id, attempt, end) })
 }
 
-// setServerState passes on what an exchange itself says of its state.
+// setServerState forwards a state change reported by an exchange to the call manager.
 func (s *Set) setServerState(c *Conn, state admission.ServerState) {
 	server := admission.Server{ID: c.id, Pool: c.pool, State: state}
 	if state == admission.Active {
