--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -12,47 +12,48 @@
 	"olivedale/internal/eventloop"
 )
 
-// The delay before a failed dial is repeated doubles from minRedialDelay to maxRedialDelay.
+// The delay before the next dial after a failure doubles from minRedialDelay up to maxRedialDelay.
 const (
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 2 * time.Second
 )
 
-// A dialState is the progress of the dials to one exchange.
+// A dialState tracks the dials to one exchange.
 type dialState struct {
-	serial         int // of the latest dial; the result of an earlier one is dropped
+	serial         int // of the latest dial; results of earlier dials are ignored
 	isDialing      bool
 	redialAt       time.Duration
 	redialDelay    time.Duration
-	lostConnection bool // a connection was lost and the exchange has not been reached since
+	lostConnection bool // a connection was lost and none has been opened since
 }
 
-// isDue reports whether it is time to dial.
+// isDue reports whether a dial may be started.
 func (d *dialState) isDue(now time.Duration) bool { return !d.isDialing && now >= d.redialAt }
 
-// cancel drops the result of the dial that runs.
+// cancel makes the result of a running dial be ignored.
 func (d *dialState) cancel() {
 	d.serial++
 	d.isDialing = false
 }
 
-// backOff delays the next dial, twice as long as the last time.
+// backOff doubles the delay and schedules the next dial.
 func (d *dialState) backOff(now time.Duration) {
 	d.redialDelay = min(max(2*d.redialDelay, minRedialDelay), maxRedialDelay)
 	d.redialAt = now + d.redialDelay
 }
 
-// A Dialing is the context of a socket to an exchange until it is opened.
+// A Dialing is the context of a socket to an exchange until gnet reports the socket as open.
 type Dialing interface {
-	// HandleOpen takes the socket and becomes or names its owner; false: the socket is to be closed.
+	// HandleOpen accepts the opened socket and sets its context to the socket's owner. It returns false if the socket
+	// is no longer needed and must be closed.
 	HandleOpen(socket gnet.Conn) bool
 }
 
 // A SocketOwner is the context of an open socket to an exchange.
 type SocketOwner interface {
-	// HandleSocketData handles what the socket has received.
+	// HandleSocketData handles data received on the socket.
 	HandleSocketData(socket gnet.Conn, data []byte)
-	// HandleClose handles the end of the socket, with gnet's error.
+	// HandleClose handles the close of the socket; err is gnet's error.
 	HandleClose(socket gnet.Conn, err error)
 }
 
@@ -63,32 +64,32 @@
 	_ SocketOwner = (*Probe)(nil)
 )
 
-// A Dialed is the context of a socket that was dialled, until it is opened.
+// A Dialed is the context of the socket of a regular dial until gnet reports the socket as open.
 type Dialed struct {
 	conn      *Conn
 	serial    int
 	startedAt time.Duration
 }
 
-// HandleOpen takes the socket that was dialled and makes the Conn its context; false: the socket is to be closed.
+// HandleOpen hands the opened socket to the Conn. It returns false if the socket must be closed.
 func (d *Dialed) HandleOpen(socket gnet.Conn) bool { return d.conn.onConnected(d.serial, socket) }
 
-// DialSerial returns the number of dials that were started or given up.
+// DialSerial returns the serial number of the latest dial; starting or cancelling a dial increments it.
 func (c *Conn) DialSerial() int { return c.dialing.serial }
 
-// IsDialing reports whether a dial runs.
+// IsDialing reports whether a dial is in progress.
 func (c *Conn) IsDialing() bool { return c.dialing.isDialing }
 
-// RedialAt returns when the next dial is due after one that failed; 0: none has failed.
+// RedialAt returns when the next dial is due after a failed one; 0 if no dial has failed.
 func (c *Conn) RedialAt() time.Duration { return c.dialing.redialAt }
 
-// Dial dials on a goroutine of its own, unless a dial runs or the exchange is connected or removed.
+// Dial dials on a separate goroutine, unless a dial is in progress or the exchange is connected or removed.
 func (c *Conn) Dial() {
 	loop := c.set.loop
 	if c.dialing.isDialing || c.isRemoved || c.set.isClosed || c.conn != nil || !loop.IsAttached() {
 		return
 	}
-	if c.isAddressTakenOver() { // set-ups and releases for this exchange would reach another
+	if c.isAddressTakenOver() { // set-ups and releases would reach a different exchange
 		c.failQueue(call.DialRefused)
 		c.dialing.redialAt = loop.Now() + maxRedialDelay
 		loop.Defer(func() { c.dropCalls(lossAddressTaken, loop.Now()+1) })
@@ -102,7 +103,7 @@
 	go c.dialAddress(c.address, &Dialed{conn: c, serial: c.dialing.serial, startedAt: now})
 }
 
-// dialAddress dials and hands the socket, or the error, to the loop. It runs beside the loop.
+// dialAddress dials and hands the socket or the error to the event loop. It runs outside the event loop.
 func (c *Conn) dialAddress(address string, dialed *Dialed) {
 	loop := c.set.loop
 	socket, err := c.set.dial(address, c.set.dialTimeout)
@@ -115,7 +116,7 @@
 	loop.ExecuteIteration(func() { c.onDialFailed(dialed, err) })
 }
 
-// onConnected takes the socket of a dial; false: it is to be closed.
+// onConnected accepts the socket of a dial. It returns false if the dial is obsolete and the socket must be closed.
 func (c *Conn) onConnected(serial int, socket gnet.Conn) bool {
 	if serial != c.dialing.serial || !c.dialing.isDialing || c.isRemoved || c.set.isClosed {
 		return false
@@ -125,7 +126,7 @@
 	return true
 }
 
-// adopt makes a socket the current connection, sends the releases that are not confirmed on it and flushes the queue.
+// adopt makes a socket the current connection, sends the unconfirmed releases on it and flushes the queue.
 func (c *Conn) adopt(socket gnet.Conn) {
 	c.dialing.lostConnection = false
 	c.dialing.redialDelay = 0
@@ -141,7 +142,7 @@
 	c.flushQueue()
 }
 
-// onDialFailed ends the queued set-ups and delays the next dial.
+// onDialFailed ends the queued attempts and schedules the next dial.
 func (c *Conn) onDialFailed(dialed *Dialed, err error) {
 	if dialed.serial != c.dialing.serial || !c.dialing.isDialing {
 		return
@@ -153,7 +154,7 @@
 	c.dialing.backOff(c.set.loop.Now())
 }
 
-// dialFailure returns how a queued set-up ends when a dial fails.
+// dialFailure maps a dial error to the result of the queued attempts.
 func dialFailure(err error) call.AttemptEnd {
 	var netErr net.Error
 	switch {
@@ -165,8 +166,8 @@
 	return call.DialFailed
 }
 
-// isAddressTakenOver reports whether the exchange's address belongs to another by now, which started later or stays
-// while this one drains: the process of this one has ended.
+// isAddressTakenOver reports whether another exchange now uses this exchange's address: one that started later, or one
+// that is active while this one drains. In both cases the process of this exchange has ended.
 func (c *Conn) isAddressTakenOver() bool {
 	for _, other := range c.set.conns {
 		if other == c || other.address != c.address || other.isDraining {
@@ -179,14 +180,14 @@
 	return false
 }
 
-// Move gives the exchange another address. What it answered at the old one before counts: an established call must
-// not be tried again.
+// Move changes the exchange's address. It first processes the data already received from the old address, so that a
+// call established there is not attempted again.
 func (c *Conn) Move(address string) {
 	if c.conn != nil {
 		c.conn.ReadPending(c.HandleData)
 	}
 	c.address = address
-	c.dialing.cancel() // a dial that runs goes to the old address
+	c.dialing.cancel() // a dial in progress goes to the old address
 	c.Disconnect(call.ConnectionClosed)
 	c.Dial()
 }
--- a/internal/backend/loss.go
+++ b/internal/backend/loss.go
@@ -6,27 +6,27 @@
 	"olivedale/internal/call"
 )
 
-// A lossReason says why the calls established at an exchange are over although it has released none. Its values appear
-// in logs.
+// A lossReason is the reason why calls established at an exchange ended without a release by the exchange. Its values
+// appear in logs.
 type lossReason string
 
 const (
-	lossRemoved      lossReason = "removed"        // discovery does not list the exchange any more
-	lossRestarted    lossReason = "restarted"      // discovery lists a later start
-	lossRefused      lossReason = "refused"        // the connection broke, or the machine was away: nobody listens now
+	lossRemoved      lossReason = "removed"        // the discovery service no longer lists the exchange
+	lossRestarted    lossReason = "restarted"      // the discovery service lists a later start time
+	lossRefused      lossReason = "refused"        // refused to connect after a lost connection or an outage
 	lossUnreachable  lossReason = "unreachable"    // no sign of life for reachability.MaxSilence
-	lossAddressTaken lossReason = "address_taken"  // another exchange listens at the address
-	lossOutOfService lossReason = "out_of_service" // the exchange says so itself
-	lossReset        lossReason = "reset"          // the exchange says that it has started
+	lossAddressTaken lossReason = "address_taken"  // another exchange uses the address
+	lossOutOfService lossReason = "out_of_service" // reported by the exchange itself
+	lossReset        lossReason = "reset"          // the exchange reported a restart
 )
 
-// maxLoggedCalls bounds the ids of one log line.
+// maxLoggedCalls is the maximum number of call ids in one log line.
 const maxLoggedCalls = 8
 
-// lossLogInterval is the time between two log lines of lost connections to one exchange.
+// lossLogInterval is the minimum time between log lines about lost connections to one exchange.
 const lossLogInterval = time.Second
 
-// logDisconnect logs how the connection ended, at most once in lossLogInterval.
+// logDisconnect logs why the connection ended, at most once per lossLogInterval.
 func (c *Conn) logDisconnect(reason call.AttemptEnd) {
 	now := c.set.loop.Now()
 	if c.disconnectLoggedAt > 0 && now-c.disconnectLoggedAt < lossLogInterval {
@@ -37,17 +37,18 @@
 		"standing", c.set.calls.EstablishedAt(c.id), "silent", now-c.activity.receivedAt)
 }
 
-// dropCalls ends the calls that were established at the exchange before a time, whose process has ended since.
+// dropCalls ends the calls that were established before the given time. The process of the exchange that held them has
+// ended since.
 func (c *Conn) dropCalls(reason lossReason, before time.Duration) {
 	c.logLoss(reason, c.set.calls.BackendRestarted(c.id, before))
 }
 
-// loseCalls ends all calls established at the exchange. They are released there too, because it may still run.
+// loseCalls ends all calls established at the exchange and also releases them there, because it may still be running.
 func (c *Conn) loseCalls(reason lossReason) {
 	c.logLoss(reason, c.set.calls.BackendLost(c.id))
 }
 
-// logLoss logs and counts calls that are over without a release by the exchange.
+// logLoss counts and logs calls that ended without a release by the exchange.
 func (c *Conn) logLoss(reason lossReason, calls []string) {
 	if len(calls) == 0 {
 		return
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// maxProbesPerExchange bounds the probes of one exchange that are dialled or open.
+	// maxProbesPerExchange limits the probes of one exchange that are being dialled or are open.
 	maxProbesPerExchange = 3
-	// probeHold is how long a probe stays open for what the exchange sends on each new connection.
+	// probeHold is how long a probe stays open to receive what the exchange sends on every new connection.
 	probeHold = 100 * time.Millisecond
 	// probeCloseTimeout is how long the exchange may take to close its end of a probe.
 	probeCloseTimeout = time.Second
 )
 
-// A Probe is a connection by which a quiet exchange is found to be there. No set-up is sent on it. An exchange may
-// send releases on it as on any connection: they are read until the exchange has closed its end. A probe that comes up
-// while there is no connection becomes the connection.
+// A Probe is an extra connection that checks whether a silent exchange is still reachable. No set-ups are sent on it.
+// The exchange may send releases on it as on any connection; they are read until the exchange closes its end. If the
+// exchange is disconnected when a probe opens, the probe becomes the connection.
 type Probe struct {
 	conn      *Conn
 	address   string
 	startedAt time.Duration
-	socket    *eventloop.Conn // nil until it has come up
+	socket    *eventloop.Conn // nil until the probe is open
 	input     input
 	openedAt  time.Duration
-	isClosing bool // this end is closed
+	isClosing bool // the sending side is closed
 }
 
-// startProbe dials on a goroutine of its own, within the bounds on probes.
+// startProbe dials a probe on a separate goroutine, unless a limit on probes is reached.
 func (c *Conn) startProbe(now time.Duration) {
 	isBounded := len(c.probes) >= maxProbesPerExchange || c.set.openProbes >= c.set.maxProbes
 	if isBounded || !c.set.loop.IsAttached() || c.isAddressTakenOver() {
@@ -47,7 +47,7 @@
 	go p.dial()
 }
 
-// dial dials and hands the socket, or the error, to the loop. It runs beside the loop.
+// dial dials and hands the socket or the error to the event loop. It runs outside the event loop.
 func (p *Probe) dial() {
 	loop := p.conn.set.loop
 	socket, err := p.conn.set.dial(p.address, p.conn.set.probeTimeout())
@@ -60,10 +60,10 @@
 	loop.ExecuteIteration(func() { p.handleFailure(err) })
 }
 
-// probeTimeout bounds each probe.
+// probeTimeout returns the dial timeout of probes.
 func (s *Set) probeTimeout() time.Duration { return min(s.dialTimeout, reachability.MaxProbeTimeout) }
 
-// isCurrent reports whether the probe still concerns the exchange.
+// isCurrent reports whether the result of the probe still matters: the exchange is known and has the probed address.
 func (p *Probe) isCurrent() bool {
 	return !p.conn.isRemoved && !p.conn.set.isClosed && p.address == p.conn.address
 }
@@ -77,7 +77,7 @@
 	p.conn.recordFailedConnection(p.startedAt, p.conn.set.probeTimeout(), err)
 }
 
-// forget removes the probe from those of its exchange.
+// forget removes the probe from its exchange's list.
 func (p *Probe) forget() {
 	c := p.conn
 	before := len(c.probes)
@@ -85,7 +85,7 @@
 	c.set.openProbes -= before - len(c.probes)
 }
 
-// HandleOpen takes the socket; false: it is to be closed.
+// HandleOpen accepts the opened socket. It returns false if the socket must be closed.
 func (p *Probe) HandleOpen(socket gnet.Conn) bool {
 	c := p.conn
 	if !p.isCurrent() {
@@ -94,7 +94,7 @@
 	}
 	if c.conn == nil {
 		p.forget()
-		c.dialing.cancel() // a dial that runs is not needed any more
+		c.dialing.cancel() // a dial in progress is no longer needed
 		c.adopt(socket)
 		return true
 	}
@@ -106,7 +106,7 @@
 	return true
 }
 
-// HandleSocketData handles what the probe brings.
+// HandleSocketData handles data received on the probe.
 func (p *Probe) HandleSocketData(_ gnet.Conn, data []byte) {
 	p.conn.recordSign()
 	if _, err := p.input.handleData(data); err != nil {
@@ -115,19 +115,19 @@
 	}
 }
 
-// HandleClose handles the end of the socket.
+// HandleClose handles the close of the socket.
 func (p *Probe) HandleClose(gnet.Conn, error) {
 	p.socket.MarkClosed()
 	p.forget()
 }
 
-// expire closes this end once the probe has been held, and the whole probe if the exchange does not close its own.
+// expire closes the sending side after probeHold, and the whole probe if the exchange does not close its end in time.
 func (p *Probe) expire(now time.Duration) {
 	age := now - p.openedAt
 	switch {
 	case p.socket == nil || age < probeHold:
 	case !p.isClosing:
-		// Closing this end alone loses nothing that is on its way.
+		// Half-closing the connection loses no data that is still in transit from the exchange.
 		p.isClosing = true
 		if syscall.Shutdown(p.socket.Socket().Fd(), syscall.SHUT_WR) != nil {
 			p.conn.set.loop.Close(p.socket)
@@ -144,7 +144,7 @@
 	}
 }
 
-// closeProbes closes all probes that are open; those that are dialled end by themselves.
+// closeProbes closes all open probes. Those still being dialled end on their own.
 func (c *Conn) closeProbes() {
 	for _, p := range slices.Clone(c.probes) {
 		if p.socket != nil {
--- a/internal/backend/reachability.go
+++ b/internal/backend/reachability.go
@@ -10,15 +10,15 @@
 	"olivedale/internal/reachability"
 )
 
-// This file carries out what package reachability decides: it reports signs of life and failed connections to the
-// exchange's detector, probes exchanges that are quiet while calls are established there, and ends calls that are over.
+// This file connects package reachability to the connections: it reports signs of life and failed connections to the
+// exchange's detector, probes silent exchanges that have established calls, and ends the calls at lost exchanges.
 
-// isSuspect reports whether calls are established at an exchange that may have vanished.
+// isSuspect reports whether the exchange may be unreachable while calls are established there.
 func (c *Conn) isSuspect() bool {
 	return c.reach.State() == reachability.Suspect && c.set.calls.EstablishedAt(c.id) > 0
 }
 
-// recordSign notes a sign of life.
+// recordSign records a sign of life from the exchange.
 func (c *Conn) recordSign() {
 	now := c.set.loop.Now()
 	previous, outage := c.reach.RecordActivity(now)
@@ -32,7 +32,7 @@
 		"probes_failed", outage.FailedProbes, "standing", c.set.calls.EstablishedAt(c.id))
 }
 
-// recordFailedConnection notes that a connection which was asked for at a time did not come up within its timeout.
+// recordFailedConnection records that a connection attempt started at startedAt failed or timed out.
 func (c *Conn) recordFailedConnection(startedAt, timeout time.Duration, err error) {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -46,9 +46,9 @@
 	}
 }
 
-// handleRefusal ends the calls of a process that has died. If the connection broke and nobody listens any more, or if
-// the machine could not be reached and nobody listens now, the process is dead and its calls with it. It will not
-// release them, so the callers are notified from here.
+// handleRefusal handles a refused connection. If the connection was lost before, or if the machine was unreachable
+// before, nothing listening there now means that the exchange's process has died and its calls with it. The process
+// cannot release them, so the callers are notified from here.
 func (c *Conn) handleRefusal() {
 	now := c.set.loop.Now()
 	outage := c.reach.Outage()
@@ -65,16 +65,16 @@
 	c.Disconnect(call.ConnectionReset)
 }
 
-// isOutage reports whether an error of a dial shows that the exchange cannot be reached. Errors of this machine, such
-// as a lack of descriptors, show nothing.
+// isOutage reports whether a dial error shows that the exchange cannot be reached. Local errors, such as running out of
+// file descriptors, say nothing about the exchange.
 func isOutage(err error) bool {
 	var netErr net.Error
 	isTimeout := errors.As(err, &netErr) && netErr.Timeout()
 	return isTimeout || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETUNREACH)
 }
 
-// checkReachability ends the calls of an exchange that has shown no life for too long, probes one that is quiet, and
-// closes probes that have done their work.
+// checkReachability ends the calls of an exchange that has been silent for too long, probes a silent exchange and
+// closes finished probes.
 func (c *Conn) checkReachability(now time.Duration) {
 	c.expireProbes(now)
 	if c.isRemoved || c.set.calls.EstablishedAt(c.id) == 0 {
--- a/internal/backend/responsiveness.go
+++ b/internal/backend/responsiveness.go
@@ -7,29 +7,29 @@
 	"olivedale/internal/call"
 )
 
-// PartialMessageTimeout is how long part of a message from an exchange may wait for the rest.
+// PartialMessageTimeout is how long an exchange may take to complete a message that it has begun to send.
 const PartialMessageTimeout = 150 * time.Millisecond
 
 const (
-	// minBusySetups is the number of waiting set-ups from which a short silence already counts.
+	// minBusySetups is the number of waiting set-ups from which the shorter, adaptive timeout applies.
 	minBusySetups = 3
-	// responseFactor is how many times the longest recent gap a connection may be silent.
+	// responseFactor is the allowed silence as a multiple of the longest recent gap.
 	responseFactor = 4
-	// gapDecay: with each piece of input the longest gap shrinks by one part in gapDecay.
+	// gapDecay is the decay of the longest gap: each received piece of data shrinks it by 1/gapDecay.
 	gapDecay = 16
 )
 
-var errStalledMidMessage = errors.New("a message stopped half way")
+var errStalledMidMessage = errors.New("timed out waiting for the rest of a message")
 
-// An activity is what is known of how fast an exchange responds on the current connection.
+// An activity tracks how fast an exchange responds on the current connection.
 type activity struct {
-	receivedAt    time.Duration // when the connection last brought something
-	waitingSetups int           // set-ups that have waited since then, or were written since
-	waitingSince  time.Duration // when the first of them began to wait
-	longestGap    time.Duration // the longest time of late that set-ups waited for the next input; decays
+	receivedAt    time.Duration // when data was last received
+	waitingSetups int           // set-ups that were open at that time or have been written since
+	waitingSince  time.Duration // when the first of them started waiting
+	longestGap    time.Duration // the longest recent time that set-ups waited for the next input; decays
 }
 
-// recordSetup notes that a set-up was written.
+// recordSetup records that a set-up was written.
 func (a *activity) recordSetup(now time.Duration) {
 	a.waitingSetups++
 	if a.waitingSetups == 1 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordInput notes that the connection has brought something while so many attempts are open.
+// recordInput records that data was received while openAttempts attempts are open.
 func (a *activity) recordInput(now time.Duration, openAttempts int) {
 	a.longestGap -= a.longestGap / gapDecay
 	if a.waitingSetups > 0 {
@@ -48,9 +48,8 @@
 	a.waitingSince = now
 }
 
-// responseTimeout is how long the connection may bring nothing while set-ups wait: several times as long as it has
-// kept others waiting of late, bounded by multiples of the time that a new connection takes at most. Where few
-// set-ups wait, the silence must last for longer.
+// responseTimeout returns how long the connection may be silent while set-ups wait: a multiple of the longest recent
+// gap, within bounds derived from the dial timeout. If only a few set-ups wait, the upper bound applies.
 func (a *activity) responseTimeout(dialTimeout time.Duration) time.Duration {
 	longest := 4 * dialTimeout
 	if a.waitingSetups < minBusySetups {
@@ -59,24 +58,24 @@
 	return min(max(responseFactor*a.longestGap, dialTimeout/2), longest)
 }
 
-// ResponseTimeout returns how long the connection may bring nothing while set-ups wait.
+// ResponseTimeout returns how long the connection may be silent while set-ups wait.
 func (c *Conn) ResponseTimeout() time.Duration { return c.activity.responseTimeout(c.set.dialTimeout) }
 
-// isUnresponsive reports whether set-ups wait on a connection that has brought nothing for too long.
+// isUnresponsive reports whether set-ups are waiting on a connection that has been silent for too long.
 func (c *Conn) isUnresponsive(now time.Duration) bool {
 	return c.activity.waitingSetups > 0 && now-c.activity.waitingSince > c.ResponseTimeout()
 }
 
-// isStalledMidMessage reports whether the connection has stopped within a message.
+// isStalledMidMessage reports whether the rest of a partly received message is overdue.
 func (c *Conn) isStalledMidMessage(now time.Duration) bool {
 	return c.conn.IsStalledMidMessage(now, PartialMessageTimeout)
 }
 
-// CheckResponsiveness ends a connection that has become useless and stays open. One that stopped within a message
-// brings nothing more that could be read; one that brings nothing at all while set-ups wait leads to a process that
-// hangs, or to nobody: all calls to that exchange would fail and its releases would not arrive. The check can end a
-// good connection only at an exchange that is slow and hardly used. Where this process itself was stopped, what
-// arrived meanwhile is read first: answers in the socket must not be lost because this side is late.
+// CheckResponsiveness closes a connection that is open but no longer usable. One that stalled in the middle of a
+// message cannot deliver further messages. One that is silent while set-ups wait leads to a hung process or to no
+// process at all: all calls to the exchange would fail and its releases would not arrive. The check can close a working
+// connection only if the exchange is slow and rarely used. Data already received is processed first, so that no answers
+// are lost if this process itself was suspended.
 func (c *Conn) CheckResponsiveness(now time.Duration) {
 	if c.conn == nil || !c.isStalledMidMessage(now) && !c.isUnresponsive(now) {
 		return
--- a/internal/backend/responsiveness_test.go
+++ b/internal/backend/responsiveness_test.go
@@ -21,7 +21,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			a := activity{waitingSetups: test.waitingSetups, longestGap: test.longestGap}
 			if got := a.responseTimeout(dialTimeout); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
