--- a/internal/backend/release.go
+++ b/internal/backend/release.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// confirmationTimeout is when a release that is not confirmed is dropped.
+	// confirmationTimeout is the time after which an unconfirmed release is dropped.
 	confirmationTimeout = 32 * time.Second
-	// unknownCallInterval is the least time between two sends of the release of a call that may not stand: an exchange
-	// that hangs is dialled again and again, and must not find all of them on each connection.
+	// unknownCallInterval is the minimum time between two sends of the release of a call that may not be established. An
+	// exchange that hangs is redialled repeatedly, and must not receive all of these releases on every connection.
 	unknownCallInterval = 2 * time.Second
-	// maxReleasesShift bounds the releases that wait for one exchange: 1<<maxReleasesShift for each MB of memory.
+	// maxReleasesShift limits the pending releases of one exchange to 1<<maxReleasesShift per MB of memory.
 	maxReleasesShift = 5
 )
 
-// A pendingRelease is a release that the exchange has not confirmed. It is sent again on each new connection.
+// A pendingRelease is a release that the exchange has not confirmed. It is resent on each new connection.
 type pendingRelease struct {
 	attempt, cause int
 	requestedAt    time.Duration
-	sentAt         time.Duration // of the latest send; 0: it was not sent
-	isUnknownCall  bool          // nothing here says that the call is established: it gives way to others
+	sentAt         time.Duration // of the latest send; 0 if not sent yet
+	isUnknownCall  bool          // not known to be established; evicted first when the table is full
 }
 
-// pendingReleases are the releases that one exchange has not confirmed, by the call's id.
+// pendingReleases holds the unconfirmed releases of one exchange by call id.
 type pendingReleases struct {
 	byID map[string]pendingRelease
 	max  int
@@ -34,8 +34,8 @@
 
 func (p *pendingReleases) remove(id string) { delete(p.byID, id) }
 
-// add remembers a release and reports whether there was room. Releases of unknown calls give way to those of calls
-// that were established here, since callers may make up ids while an exchange is away.
+// add stores a release and reports whether there was room for it. Releases of unknown calls are evicted in favour of
+// those of calls established here, because callers may send made-up ids while an exchange is unreachable.
 func (p *pendingReleases) add(id string, r pendingRelease) bool {
 	if len(p.byID) >= p.max && (r.isUnknownCall || !p.evictUnknownCall()) {
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// evictUnknownCall drops the release of one unknown call; false: there is none.
+// evictUnknownCall drops the release of one unknown call, and returns false if there is none.
 func (p *pendingReleases) evictUnknownCall() bool {
 	for id, r := range p.byID {
 		if r.isUnknownCall {
@@ -55,8 +55,8 @@
 	return false
 }
 
-// expire drops the releases that were not confirmed in time. Those of calls that were established wait for as long as
-// the exchange is not connected: it may keep the calls through an outage of any length.
+// expire drops the releases that were not confirmed in time. Releases of established calls are kept while the exchange
+// is disconnected, because it may keep those calls through an outage of any length.
 func (p *pendingReleases) expire(now time.Duration, isConnected bool) {
 	for id, r := range p.byID {
 		mayExpire := isConnected || r.isUnknownCall
@@ -66,12 +66,12 @@
 	}
 }
 
-// isDue reports whether a release should be sent on a connection that is new now.
+// isDue reports whether a release should be sent on a connection opened now.
 func (r *pendingRelease) isDue(now time.Duration) bool {
 	return !r.isUnknownCall || r.sentAt == 0 || now-r.sentAt >= unknownCallInterval
 }
 
-// sendReleases sends the releases that are not confirmed on a new connection. Those that are not due yet wait for
+// sendReleases sends the unconfirmed releases on a new connection. Releases that are not due yet are left to
 // resendReleases.
 func (c *Conn) sendReleases() {
 	now := c.set.loop.Now()
@@ -85,7 +85,7 @@
 	}
 }
 
-// resendReleases sends the releases that were not due when the connection came up.
+// resendReleases sends the releases that were not due when the connection was opened.
 func (c *Conn) resendReleases(now time.Duration) {
 	if c.conn == nil || c.resendAt == 0 || now < c.resendAt {
 		return
@@ -101,7 +101,7 @@
 // PendingReleases returns the number of releases that the exchange has not confirmed.
 func (c *Conn) PendingReleases() int { return c.releases.len() }
 
-// release ends a call at the exchange.
+// release releases a call at the exchange, now if it is connected and otherwise on the next connection.
 func (c *Conn) release(id string, r pendingRelease) {
 	r.requestedAt = c.set.loop.Now()
 	isKept := c.releases.add(id, r)
--- a/internal/backend/release_test.go
+++ b/internal/backend/release_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Releases of unknown calls give way to those of known calls, never the other way round.
+// When the table is full, releases of unknown calls are evicted in favour of those of known calls, never the reverse.
 func TestPendingReleasesAreBounded(t *testing.T) {
 	p := newPendingReleases(2)
 	if !p.add("unknown1", pendingRelease{isUnknownCall: true}) || !p.add("unknown2", pendingRelease{isUnknownCall: true}) {
-		t.Fatal("a release within the bound was not remembered")
+		t.Fatal("a release within the limit was not stored")
 	}
 	if p.add("unknown3", pendingRelease{isUnknownCall: true}) {
-		t.Error("the release of an unknown call exceeds the bound")
+		t.Error("the release of an unknown call was stored beyond the limit")
 	}
 	if !p.add("known1", pendingRelease{}) || !p.add("known2", pendingRelease{}) {
-		t.Error("the releases of unknown calls did not give way")
+		t.Error("the releases of unknown calls were not evicted")
 	}
 	if p.add("known3", pendingRelease{}) || p.len() != 2 {
-		t.Errorf("%d releases are remembered, want 2", p.len())
+		t.Errorf("%d releases are stored, want 2", p.len())
 	}
 	p.expire(confirmationTimeout, true)
 	if p.len() != 2 {
@@ -26,26 +26,26 @@
 	}
 	p.expire(confirmationTimeout+time.Millisecond, false)
 	if p.len() != 2 {
-		t.Errorf("%d releases are left while the exchange is away, want 2", p.len())
+		t.Errorf("%d releases are left while the exchange is disconnected, want 2", p.len())
 	}
 	p.expire(confirmationTimeout+time.Millisecond, true)
 	if p.len() != 0 {
-		t.Errorf("%d releases are left after the timeout", p.len())
+		t.Errorf("%d releases are left after the timeout, want 0", p.len())
 	}
 }
 
-// Releases of unknown calls expire while the exchange is away as well: their ids may be made up.
+// Releases of unknown calls expire even while the exchange is disconnected, because their ids may be made up.
 func TestReleasesOfUnknownCallsExpire(t *testing.T) {
 	p := newPendingReleases(2)
 	p.add("unknown", pendingRelease{isUnknownCall: true})
 	p.expire(confirmationTimeout+time.Millisecond, false)
 	if p.len() != 0 {
-		t.Error("it is left after the timeout")
+		t.Error("the release is left after the timeout")
 	}
 }
 
-// The release of a call that may not stand is sent on the first connection, and then not on each; that of a call that
-// was established is sent on each.
+// The release of an established call is sent on every new connection. The release of an unknown call is sent on the
+// first one, and then at most once per unknownCallInterval.
 func TestReleasesOnManyConnections(t *testing.T) {
 	known, unknown := pendingRelease{sentAt: time.Second}, pendingRelease{sentAt: time.Second, isUnknownCall: true}
 	if !(&pendingRelease{isUnknownCall: true}).isDue(time.Second) {
@@ -55,6 +55,6 @@
 		t.Error("the release of an established call is not due on a new connection")
 	}
 	if unknown.isDue(time.Second+unknownCallInterval-1) || !unknown.isDue(time.Second+unknownCallInterval) {
-		t.Error("the release of an unknown call is not due after its interval")
+		t.Error("the release of an unknown call is not due exactly from unknownCallInterval on")
 	}
 }
