--- a/internal/backend/h248.go
+++ b/internal/backend/h248.go
@@ -12,21 +12,20 @@
 	"olivedale/internal/codec/h248/transaction"
 )
 
-// maxTransactionsShift bounds the transactions of one exchange that are remembered: 1<<maxTransactionsShift for each
-// MB of memory.
+// maxTransactionsShift limits the stored transactions of one exchange to 1<<maxTransactionsShift per MB of memory.
 const maxTransactionsShift = 4
 
-// h248Protocol speaks H.248 with one call server: an Add sets a call up there, a Subtract cancels or releases it, and
-// the server notifies of its end.
+// h248Protocol speaks H.248 with one call server: an Add sets up a call, a Subtract cancels or releases it, and the
+// server reports the end of a call by a Notify.
 type h248Protocol struct {
 	conn     *Conn
-	lastID   uint32                     // of our transactions
-	requests map[uint32]*pendingRequest // our transactions without a reply
-	contexts map[string]string          // by termination, while the call is established there
+	lastID   uint32                     // id of our latest transaction
+	requests map[uint32]*pendingRequest // our transactions that have no reply yet
+	contexts map[string]string          // contexts of established calls, by termination
 	received *transaction.Store
 }
 
-// A pendingRequest is a transaction of ours that has no reply.
+// A pendingRequest is a transaction sent by us that has no reply yet.
 type pendingRequest struct {
 	isAdd   bool
 	callID  string
@@ -43,13 +42,13 @@
 	}
 }
 
-// reset forgets what was requested on another connection: Adds were given up with it on both sides, and releases that
-// are not confirmed are requested again on this one. It bounds the memory where connections break again and again.
+// reset discards the requests that were sent on the previous connection: both sides have abandoned their Adds, and
+// unconfirmed releases are requested again on the new connection. This bounds the memory if connections break often.
 func (p *h248Protocol) reset() {
 	clear(p.requests)
 }
 
-// unsettledAttempts implements protocol: those whose Add or whose Subtract has no reply.
+// unsettledAttempts implements protocol. It returns the attempts whose Add or Subtract has no reply.
 func (p *h248Protocol) unsettledAttempts() map[string]int {
 	unsettled := make(map[string]int)
 	for _, r := range p.requests {
@@ -60,8 +59,8 @@
 
 func (p *h248Protocol) rememberedCalls() int { return len(p.contexts) }
 
-// expire drops requests without a reply, and contexts of calls that ended without a message, such as at a process
-// that died.
+// expire drops requests that got no reply in time, and contexts of calls that ended without a message, for example
+// because the server's process died.
 func (p *h248Protocol) expire(now time.Duration) {
 	for id, r := range p.requests {
 		if now-r.sentAt > transaction.LongTimer {
@@ -76,15 +75,15 @@
 	}
 }
 
-// terminationPrefix begins the names of all terminations of calls.
+// terminationPrefix is the first part of the names of all call terminations.
 const terminationPrefix = "call"
 
-// TerminationName returns the name of the termination of an attempt at the server.
+// TerminationName returns the name of the termination that the server uses for an attempt.
 func TerminationName(id string, attempt int) string {
 	return terminationPrefix + "/" + id + "/" + strconv.Itoa(attempt)
 }
 
-// ParseTermination reads the call and the attempt from the name of a termination.
+// ParseTermination extracts the call id and the attempt from the name of a termination.
 func ParseTermination(name string) (id string, attempt int, ok bool) {
 	parts := strings.Split(name, "/")
 	if len(parts) != 3 || parts[0] != terminationPrefix || !callid.Valid(parts[1]) {
@@ -94,7 +93,7 @@
 	return parts[1], attempt, err == nil
 }
 
-// appendRequest appends a transaction of one command and remembers it until its reply.
+// appendRequest appends a transaction with a single command and stores it until its reply arrives.
 func (p *h248Protocol) appendRequest(b []byte, r *pendingRequest, context string, c *h248.Command) ([]byte, error) {
 	p.lastID++
 	t := &h248.Transaction{
@@ -111,7 +110,7 @@
 
 func (p *h248Protocol) appendInvite(b []byte, s call.Setup) ([]byte, error) {
 	if !h248.IsEncodable(s.Description) || !h248.IsUnquotedValue(s.Class) || !h248.IsUnquotedValue(s.Number) {
-		return b, &h248.Error{Code: h248.UnsupportedValue, Text: "the set-up has no form in H.248"}
+		return b, &h248.Error{Code: h248.UnsupportedValue, Text: "the set-up cannot be encoded in H.248"}
 	}
 	timeout := max(s.Timeout.Milliseconds(), 1)
 	state := &h248.Node{Name: "TerminationState", Children: []*h248.Node{
@@ -137,7 +136,7 @@
 	return p.appendSubtract(b, id, attempt)
 }
 
-// appendSubtract names the context where it is known; an Add without a reply has none yet.
+// appendSubtract appends a Subtract. It names the context if that is known; an Add without a reply has none yet.
 func (p *h248Protocol) appendSubtract(b []byte, id string, attempt int) []byte {
 	termination := TerminationName(id, attempt)
 	context := p.contexts[termination]
@@ -150,7 +149,7 @@
 	return b
 }
 
-// An h248Input reads the messages of one connection.
+// An h248Input decodes the messages received on one connection.
 type h248Input struct {
 	protocol *h248Protocol
 	isOpen   func() bool
@@ -191,14 +190,14 @@
 		p.handleRequest(messageID, t)
 	case h248.Ack:
 		p.received.Acknowledge(messageID, t.Acked)
-	case h248.Pending: // the reply follows
+	case h248.Pending: // the reply will follow
 	}
 }
 
 func (p *h248Protocol) handleReply(t *h248.Transaction) {
 	r := p.requests[t.ID]
 	if r == nil {
-		return // a copy, or its Add was given up with its connection
+		return // duplicate, or a reply to an Add that was abandoned with its connection
 	}
 	delete(p.requests, t.ID)
 	if !r.isAdd {
@@ -217,7 +216,7 @@
 	p.conn.set.calls.AttemptAnswered(p.conn.id, r.callID, r.attempt, description)
 }
 
-// parseAddReply reads the context and the description from the reply to an Add.
+// parseAddReply extracts the context and the session description from the reply to an Add.
 func parseAddReply(t *h248.Transaction) (context string, description []byte, err *h248.Error) {
 	if t.Err != nil {
 		return "", nil, t.Err
@@ -243,7 +242,7 @@
 	return a.Context, description, nil
 }
 
-// attemptEndOfError returns how an attempt ended by the error code of its reply.
+// attemptEndOfError maps the error code in the reply to an Add to the result of the attempt.
 func attemptEndOfError(code int) call.AttemptEnd {
 	switch code {
 	case h248.InsufficientResources, h248.ServiceUnavailable:
@@ -260,8 +259,8 @@
 	return call.BackendError
 }
 
-// handleRequest carries out a transaction of the server, each once. One that cannot be remembered gets no reply, and
-// the server repeats it.
+// handleRequest executes a transaction of the server at most once; a repeated one gets the stored reply. If there is no
+// room to store a transaction, it is not executed and gets no reply, so that the server repeats it.
 func (p *h248Protocol) handleRequest(messageID string, t *h248.Transaction) {
 	set := p.conn.set
 	entry, isNew := p.received.Begin(messageID, t.ID, set.loop.Now())
@@ -278,7 +277,7 @@
 	p.conn.write(func(b []byte) []byte { return append(b, entry.Reply()...) })
 }
 
-// runActions runs commands up to the first that fails and returns the actions of the reply.
+// runActions executes commands until the first failure and returns the actions of the reply.
 func (p *h248Protocol) runActions(actions []*h248.Action) (replies []*h248.Action) {
 	for _, a := range actions {
 		reply := &h248.Action{Context: a.Context}
@@ -309,7 +308,7 @@
 	return &h248.Error{Code: h248.NotImplemented, Text: c.Name}
 }
 
-// releaseCall handles the release of a call by the server.
+// releaseCall handles a release of a call by the server.
 func (p *h248Protocol) releaseCall(termination string, cause int) *h248.Error {
 	id, _, ok := ParseTermination(termination)
 	if !ok {
@@ -321,7 +320,7 @@
 	return nil
 }
 
-// changeService applies what the server says of its own state.
+// changeService applies a state change that the server reports by a ServiceChange.
 func (p *h248Protocol) changeService(method string) *h248.Error {
 	switch strings.ToLower(method) {
 	case "graceful":
--- a/internal/backend/h248_test.go
+++ b/internal/backend/h248_test.go
@@ -12,7 +12,7 @@
 	"olivedale/internal/eventloop"
 )
 
-// newTestConn returns a connected exchange of a set that has no event loop and no other exchanges.
+// newTestConn returns a Conn in the connected state, of a set without a running event loop or other exchanges.
 func newTestConn() *Conn {
 	loop := eventloop.New(zap.NewNop(), time.Now)
 	set := NewSet(Options{Loop: loop, Name: "n0", MemoryMB: 192})
@@ -34,7 +34,7 @@
 		h248.ProtocolError:         call.BackendError,
 	} {
 		if got := attemptEndOfError(code); got != want {
-			t.Errorf("%d: %v, want %v", code, got, want)
+			t.Errorf("error code %d: got %v, want %v", code, got, want)
 		}
 	}
 }
@@ -43,16 +43,16 @@
 	const callID = "00000000000000aa"
 	id, attempt, ok := ParseTermination(TerminationName(callID, 3))
 	if id != callID || attempt != 3 || !ok {
-		t.Errorf("%q, %d, %v", id, attempt, ok)
+		t.Errorf("got %q, %d, %v, want %q, 3, true", id, attempt, ok, callID)
 	}
 	for _, name := range []string{"", "call", "call/" + callID, "call/x/0", "call/" + callID + "/x", "other/" + callID + "/0"} {
 		if _, _, ok := ParseTermination(name); ok {
-			t.Errorf("%q was read", name)
+			t.Errorf("invalid name %q was accepted", name)
 		}
 	}
 }
 
-// A server's transaction that is repeated after a reset gets its reply again and is done once.
+// A transaction that the server repeats on a new connection must be executed once and get the same reply again.
 func TestServerTransactionIsDoneOnce(t *testing.T) {
 	c := newTestConn()
 	p := newH248(c)
@@ -68,12 +68,12 @@
 	second := string(c.conn.PendingOutput())
 	released, repeated := c.set.calls.Counters.ReleasedUnknown, c.set.Counters.RepeatedRequests
 	if second != first || first == "" || released != 1 || repeated != 1 {
-		t.Errorf("replies %q and %q, released %d times, %d repeats", first, second, released, repeated)
+		t.Errorf("replies %q and %q, %d releases, %d repeated requests", first, second, released, repeated)
 	}
 }
 
-// A release that is not confirmed is requested again on each new connection; what was requested on those before is
-// forgotten.
+// An unconfirmed release is requested again on each new connection. The requests of earlier connections must be
+// discarded, or the table would grow with each reconnect.
 func TestReleasesRequestedOnManyConnections(t *testing.T) {
 	c := newTestConn()
 	p := newH248(c)
@@ -84,11 +84,11 @@
 		p.appendCancel(nil, "00000000000000ab", 0)
 	}
 	if len(p.requests) != 2 {
-		t.Errorf("%d transactions are remembered", len(p.requests))
+		t.Errorf("%d transactions are stored, want 2", len(p.requests))
 	}
 	c.releases.add("00000000000000aa", pendingRelease{})
 	p.handleReply(&h248.Transaction{Kind: h248.Reply, ID: p.lastID - 1})
 	if c.PendingReleases() != 0 || len(p.requests) != 1 {
-		t.Errorf("the latest of them is not confirmed: %d releases, %d transactions", c.PendingReleases(), len(p.requests))
+		t.Errorf("after the reply: %d releases and %d transactions left, want 0 and 1", c.PendingReleases(), len(p.requests))
 	}
 }
--- a/internal/backend/sip.go
+++ b/internal/backend/sip.go
@@ -10,25 +10,26 @@
 	"olivedale/internal/codec/sip"
 )
 
-// duplicateAnswerTimeout is how long after the answer that rejects a set-up a copy of it may arrive.
+// duplicateAnswerTimeout is how long after the rejection of a set-up a duplicate of the rejection may arrive.
 const duplicateAnswerTimeout = 2 * time.Second
 
-// sipProtocol speaks SIP with one exchange. Answers are matched by Call-ID and method, because exchanges do not have
-// to repeat the number in CSeq. Where an earlier attempt of the call was answered there, the number tells a copy of
-// that answer from the one that is waited for, if the exchange has been seen to repeat our numbers.
+// sipProtocol speaks SIP with one exchange. Responses are matched by Call-ID and method, because not all exchanges echo
+// our CSeq number. If an earlier attempt of the same call was answered by the exchange, the CSeq number is used to
+// distinguish a duplicate of that answer from the answer to the current attempt, but only once the exchange is known to
+// echo our numbers.
 type sipProtocol struct {
 	conn          *Conn
 	dialogs       map[string]*dialog // by Call-ID
 	cseqNumbering cseqNumbering
 }
 
-// A cseqNumbering is what is known of the numbers in an exchange's CSeq.
+// A cseqNumbering says whether an exchange echoes our CSeq numbers in its responses.
 type cseqNumbering int
 
 const (
 	cseqUnknown  cseqNumbering = iota
-	cseqRepeated               // it repeats ours
-	cseqOwn                    // it does not
+	cseqRepeated               // the exchange echoes our numbers
+	cseqOwn                    // the exchange uses its own numbers
 )
 
 // A dialog is the latest attempt of a call at the exchange.
@@ -36,23 +37,23 @@
 	number           string
 	attempt          int
 	isCanceled       bool
-	isAnswered       bool          // the final response has come
-	awaitsCanceled   bool          // the final response to an earlier attempt, which was cancelled, has not come
-	hasEarlierAnswer bool          // an earlier attempt was answered: a copy of the answer may come
-	expiresAt        time.Duration // 0: the call is open
+	isAnswered       bool          // the final response has been received
+	awaitsCanceled   bool          // the final response to an earlier, cancelled attempt is outstanding
+	hasEarlierAnswer bool          // an earlier attempt was answered: a duplicate of that answer may arrive
+	expiresAt        time.Duration // 0 while the call is open
 }
 
-// isExpired reports whether the dialog is over.
+// isExpired reports whether the dialog may be dropped.
 func (d *dialog) isExpired(now time.Duration) bool { return d.expiresAt > 0 && now > d.expiresAt }
 
 func newSIP(c *Conn) *sipProtocol {
 	return &sipProtocol{conn: c, dialogs: make(map[string]*dialog)}
 }
 
-func (p *sipProtocol) reset()               {} // nothing is tied to a connection but its input
+func (p *sipProtocol) reset()               {} // only the input is tied to a connection
 func (p *sipProtocol) rememberedCalls() int { return len(p.dialogs) }
 
-// unsettledAttempts implements protocol: those that are open, and those that were canceled and had no final response.
+// unsettledAttempts implements protocol. It returns the open attempts and the cancelled ones without a final response.
 func (p *sipProtocol) unsettledAttempts() map[string]int {
 	unsettled := make(map[string]int)
 	for id, d := range p.dialogs {
@@ -63,8 +64,8 @@
 	return unsettled
 }
 
-// expire drops dialogs whose other side never sent its final response, and those of calls that ended without a
-// message, such as at a process that died.
+// expire drops dialogs for which the exchange never sent a final message, and dialogs of calls that ended without one,
+// for example because the exchange's process died.
 func (p *sipProtocol) expire(now time.Duration) {
 	for id, d := range p.dialogs {
 		if d.isExpired(now) || d.expiresAt == 0 && !p.conn.set.calls.Contains(id) {
@@ -73,14 +74,14 @@
 	}
 }
 
-// scheduleExpiry keeps a dialog for as long as a confirmation may take.
+// scheduleExpiry makes a dialog expire after the time that a confirmation may take.
 func (p *sipProtocol) scheduleExpiry(id string) {
 	if d := p.dialogs[id]; d != nil {
 		d.expiresAt = p.conn.set.loop.Now() + confirmationTimeout
 	}
 }
 
-// number returns the number called; of a call from before a restart only the id is known.
+// number returns the called number. For a call from before a restart only the id is known, so it returns that.
 func (p *sipProtocol) number(id string) string {
 	if d := p.dialogs[id]; d != nil {
 		return d.number
@@ -133,7 +134,7 @@
 	})
 }
 
-// A sipInput reads the messages of one connection.
+// A sipInput decodes the messages received on one connection.
 type sipInput struct {
 	protocol *sipProtocol
 	isOpen   func() bool
@@ -170,11 +171,11 @@
 	}
 }
 
-// handleFinalResponse handles the final response to an INVITE, which may be a copy.
+// handleFinalResponse handles a final response to an INVITE, which may be a duplicate.
 func (p *sipProtocol) handleFinalResponse(m *sip.Message) {
 	d := p.dialogs[m.CallID]
 	if d == nil {
-		p.conn.set.Counters.Strays++ // of an id that was never sent there
+		p.conn.set.Counters.Strays++ // unknown Call-ID
 		return
 	}
 	p.write(func(b []byte) []byte {
@@ -184,22 +185,22 @@
 	isNumbered := d.hasEarlierAnswer && p.cseqNumbering == cseqRepeated
 	switch {
 	case m.Status == 487 && d.awaitsCanceled:
-		d.awaitsCanceled = false // to an earlier attempt: it must not end a later one
+		d.awaitsCanceled = false // belongs to an earlier attempt: it must not end the current one
 	case isOpen && m.Status >= 300 && isNumbered && m.CSeq != attempt+1:
-		p.conn.set.Counters.Strays++ // a copy of the answer to an earlier attempt: this one is still open
+		p.conn.set.Counters.Strays++ // duplicate answer to an earlier attempt: this one stays open
 	case isOpen:
 		p.endAttempt(m, d, attempt)
 	case d.isAnswered:
-		p.conn.set.Counters.Strays++ // a copy
+		p.conn.set.Counters.Strays++ // duplicate
 	default:
 		d.isAnswered = true
-		if m.Status < 300 { // it crossed our CANCEL
+		if m.Status < 300 { // it crossed our CANCEL on the wire
 			p.conn.set.calls.AttemptAnswered(p.conn.id, m.CallID, d.attempt, m.Body)
 		}
 	}
 }
 
-// endAttempt passes the final response to an open attempt on.
+// endAttempt reports the final response to an open attempt to the call manager.
 func (p *sipProtocol) endAttempt(m *sip.Message, d *dialog, attempt int) {
 	set := p.conn.set
 	delete(p.conn.openAttempts, m.CallID)
@@ -213,7 +214,8 @@
 	}
 	d.expiresAt = set.loop.Now() + duplicateAnswerTimeout
 	if d.hasEarlierAnswer && p.cseqNumbering != cseqRepeated {
-		// This may be a copy of an earlier answer, and the attempt still open: there must be no second one at once.
+		// This may be a duplicate of an earlier answer while the attempt is still open at the exchange. Cancel it, so
+		// that there are never two attempts at once.
 		p.write(func(b []byte) []byte { return p.appendCancel(b, m.CallID, attempt) })
 		set.calls.AttemptEnded(p.conn.id, m.CallID, attempt, call.FailedInTransit)
 		return
@@ -221,8 +223,9 @@
 	set.calls.AttemptEnded(p.conn.id, m.CallID, attempt, attemptEndOfResponse(m))
 }
 
-// learnNumbering notes whether the exchange repeats our numbers, by an answer that can be to one attempt alone. The
-// answer to a call's first attempt proves nothing: an exchange that numbers by itself may begin as we do.
+// learnNumbering records whether the exchange echoes our CSeq numbers, from a response that can only belong to the
+// given attempt. A matching number in the response to a call's first attempt proves nothing, because an exchange with
+// its own numbering may start with the same number.
 func (p *sipProtocol) learnNumbering(m *sip.Message, attempt int) {
 	switch {
 	case m.CSeq != attempt+1:
@@ -232,7 +235,7 @@
 	}
 }
 
-// forget drops a dialog that is over on both sides.
+// forget drops a dialog that both sides have ended.
 func (p *sipProtocol) forget(id string) {
 	if _, isOpen := p.conn.openAttempts[id]; !isOpen {
 		delete(p.dialogs, id)
@@ -241,7 +244,7 @@
 
 func (p *sipProtocol) write(write func([]byte) []byte) { p.conn.write(write) }
 
-// attemptEndOfResponse returns how an attempt ended by the final response to its INVITE.
+// attemptEndOfResponse maps a failure response to an INVITE to the result of the attempt.
 func attemptEndOfResponse(m *sip.Message) call.AttemptEnd {
 	diagnosis := m.Header("X-Diagnosis")
 	switch {
@@ -264,8 +267,8 @@
 func (p *sipProtocol) handleRequest(m *sip.Message) {
 	set := p.conn.set
 	switch m.Method {
-	case "ACK": // wants no answer
-	case "NOTIFY": // wants no answer
+	case "ACK": // has no response
+	case "NOTIFY": // carries a load report and gets no response
 		if load, ok := parseOccupancy(m.Header("X-Occupancy")); ok {
 			set.calls.LoadReported(p.conn.id, load)
 		}
@@ -286,7 +289,7 @@
 	p.write(func(b []byte) []byte { return sip.AppendResponse(b, m, status, phrase) })
 }
 
-// parseOccupancy reads the state of a group of lines, such as 'free:305;size:310'.
+// parseOccupancy parses the occupancy of a circuit group, such as 'free:305;size:310'.
 func parseOccupancy(text string) (load admission.LoadReport, ok bool) {
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
--- a/internal/backend/sip_test.go
+++ b/internal/backend/sip_test.go
@@ -8,9 +8,9 @@
 	"olivedale/internal/codec/sip"
 )
 
-// Answers are matched by Call-ID and method, whatever number their CSeq has. The final response to an earlier attempt
-// must not end a later one, and neither copies nor answers under ids that nobody sent reach the manager of calls, which
-// would fail here.
+// Responses are matched by Call-ID and method, regardless of their CSeq number. The final response to an earlier
+// attempt must not end a later one. Duplicates and responses with an unknown Call-ID must not reach the call manager,
+// which would fail in this test.
 func TestMatchingOfAnswers(t *testing.T) {
 	c := newTestConn()
 	c.conn.MarkClosed()
@@ -39,10 +39,10 @@
 	if d := p.dialogs["x"]; d == nil || d.expiresAt == 0 || len(c.openAttempts) != 0 || *strays != 2 {
 		t.Errorf("dialog %+v, open attempts %v, strays %d", d, c.openAttempts, *strays)
 	}
-	// It is kept for no longer than a copy may take.
+	// The dialog must be dropped once no duplicate can arrive any more.
 	p.expire(c.set.loop.Now() + duplicateAnswerTimeout + time.Second)
 	if len(p.dialogs) != 0 {
-		t.Errorf("dialogs %v", p.dialogs)
+		t.Errorf("dialogs %v are left, want none", p.dialogs)
 	}
 }
 
@@ -66,7 +66,7 @@
 			Headers: []sip.Header{{Name: "X-Diagnosis", Value: test.diagnosis}},
 		}
 		if got := attemptEndOfResponse(m); got != test.want {
-			t.Errorf("%d %s: %v, want %v", test.status, test.diagnosis, got, test.want)
+			t.Errorf("status %d, diagnosis %q: got %v, want %v", test.status, test.diagnosis, got, test.want)
 		}
 	}
 }
