--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend holds what the frontends, which accept the connections of callers, have in common: the bounds on
-// connections, the closing of idle ones, the deadlines of set-ups and the counters. Each protocol has a package of its
-// own below this one. A frontend never decides on a call and never speaks to exchanges.
+// Package frontend contains the code shared by the frontends, which accept connections from callers: connection limits,
+// the closing of overdue connections, the deadlines of set-ups and the counters. Each protocol is implemented by a
+// package below this one. A frontend makes no decisions about calls and does not communicate with exchanges.
 package frontend
 
 import (
@@ -14,73 +14,75 @@
 	"olivedale/internal/eventloop"
 )
 
-// AnswerMargin is how long before the caller gives up the last answer is sent.
+// AnswerMargin is how long before the timeout of the caller a set-up is answered at the latest.
 const AnswerMargin = 5 * time.Millisecond
 
-// AnyPool is the preferred pool of a set-up without a preference.
+// AnyPool is the value of the preferred pool in set-ups without a preference.
 const AnyPool = -1
 
-// Counters count what the connections of callers bring, on all frontends.
+// Counters counts events on the connections of callers, over all frontends.
 type Counters struct {
-	Accepted             int // connections
-	RejectedFull         int // connections closed at once since there were too many
-	ClosedIdle           int // idle connections closed for new ones
-	ClosedOverdue        int // connections closed because they were silent, or stopped within a message
-	InvalidSetups        int // set-ups that no exchange could carry
-	LateSetups           int // set-ups that came when the connections to exchanges were closed
-	Echoes               int // tests of a connection
+	Accepted             int // connections accepted
+	RejectedFull         int // connections closed at once because the limit was reached
+	ClosedIdle           int // idle connections closed to make room for new ones
+	ClosedOverdue        int // connections closed because they sent nothing or only part of a message in time
+	InvalidSetups        int // set-ups that were readable but could not be carried by any exchange
+	LateSetups           int // set-ups that arrived after the connections to the exchanges were closed
+	Echoes               int // liveness probes of a connection
 	RepeatedTransactions int
 	ReleasesSent         int
-	ReleasesDiscarded    int // releases that no connection could take in time
+	ReleasesDiscarded    int // releases that could not be delivered in time or stored
 }
 
-// A Frontend is one protocol towards callers.
+// A Frontend serves callers in one protocol.
 type Frontend interface {
 	call.Frontend
-	// CloseOverdue closes connections that are silent or have stopped within a message, and retries what waits.
+	// CloseOverdue closes connections that have sent nothing or only part of a message for too long. It also retries or
+	// drops the releases that are still pending.
 	CloseOverdue(now time.Duration)
-	// HasPendingWork reports whether a caller waits for something that this process alone can send.
+	// HasPendingWork reports whether there are messages for a caller that only this process can send.
 	HasPendingWork() bool
-	// Connections returns the connections that are open.
+	// Connections returns the open connections.
 	Connections() []Connection
 }
 
-// A Connection is one connection of a caller. It is the context of its socket.
+// A Connection is one connection from a caller. It is stored as the context of its socket.
 type Connection interface {
 	// Conn returns the buffered connection.
 	Conn() *eventloop.Conn
-	// HandleData handles what has been received.
+	// HandleData handles received data.
 	HandleData(data []byte)
-	// HandleClose handles the end of the socket, with gnet's error.
+	// HandleClose handles the close of the socket; err is gnet's error.
 	HandleClose(err error)
-	// HasOpenSetup reports whether a set-up on the connection waits for its answer.
+	// HasOpenSetup reports whether a set-up received on the connection is unanswered.
 	HasOpenSetup() bool
 }
 
-// A Host is what the frontends of one process share.
+// A Host provides the dependencies and counters that all frontends of a process share.
 type Host struct {
 	Loop   *eventloop.Loop
 	Calls  *call.Manager
 	Config *config.Config
 	Random *rand.Rand
-	// ReportMalformed is called for input that cannot be read.
+	// ReportMalformed is called for input that cannot be parsed.
 	ReportMalformed func(source string, err error)
-	// IsShuttingDown reports whether a set-up that arrives now would be open when the process ends.
+	// IsShuttingDown reports whether the process may exit before a set-up that arrives now is answered.
 	IsShuttingDown func() bool
-	// IsDisconnected reports whether the connections to exchanges are closed for good: no release can be passed on.
+	// IsDisconnected reports whether the connections to exchanges are permanently closed, so that releases can no
+	// longer be forwarded.
 	IsDisconnected func() bool
 
 	Counters Counters
 }
 
-// Deadline returns when a caller of a class that waits for so long gives up. Nobody waits for longer than the class's
-// own deadline: callers that claim to wait for days would fill the table of timers.
+// Deadline returns the time by which a set-up must be answered whose caller waits for the given time. The wait is
+// limited to the deadline of the class, because callers that claim to wait for days would fill the timer table.
 func (h *Host) Deadline(class string, wait time.Duration) time.Duration {
 	return h.Loop.Now() + min(wait, h.Config.Deadline(class)) - AnswerMargin
 }
 
-// IsPoolAllowed reports whether calls of a class may go to a pool, which may be AnyPool. Classes that do not exist are
-// left to the admission control.
+// IsPoolAllowed reports whether calls of a class may use a pool, which may be AnyPool. Unknown classes pass, because
+// admission control rejects them.
 func (h *Host) IsPoolAllowed(class string, pool int) bool {
 	classes := h.Config.Settings.Classes
 	i := slices.IndexFunc(classes, func(c admission.Class) bool { return c.Name == class })
@@ -90,7 +92,7 @@
 	return pool >= 0 && (classes[i].Pools == nil || slices.Contains(classes[i].Pools, pool))
 }
 
-// RejectShuttingDown rejects a set-up that would be open when the process ends.
+// RejectShuttingDown rejects a set-up that could not be answered before the process exits.
 func (h *Host) RejectShuttingDown(client call.Client, r call.Request) {
 	if h.IsDisconnected() {
 		h.Counters.LateSetups++
@@ -98,13 +100,13 @@
 	h.Calls.RejectShuttingDown(client, r)
 }
 
-// maxWait bounds the milliseconds that a caller may say it waits.
+// maxWait is the exclusive upper limit of the wait that a caller may state, in milliseconds.
 const maxWait = 1e9
 
-// IsValidWait reports whether a caller may say that it waits for so many milliseconds.
+// IsValidWait reports whether a caller's stated wait in milliseconds is valid.
 func IsValidWait(milliseconds float64) bool { return milliseconds >= 0 && milliseconds < maxWait }
 
-// Milliseconds converts to a duration.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(count float64) time.Duration {
 	return time.Duration(count * float64(time.Millisecond))
 }
--- a/internal/frontend/registry.go
+++ b/internal/frontend/registry.go
@@ -7,17 +7,17 @@
 	"olivedale/internal/eventloop"
 )
 
-// A Registry is the list of a frontend's connections, least recently used first.
+// A Registry holds the connections of a frontend, ordered from least to most recently used.
 type Registry[T Connection] struct {
-	// Max bounds the connections, within the process's budget of sockets.
+	// Max is the maximum number of connections, as allotted from the process's socket budget.
 	Max int
 
 	host        *Host
 	connections eventloop.IdleList[T]
-	mayOverdue  eventloop.IdleList[T] // those that may become overdue
+	mayOverdue  eventloop.IdleList[T] // connections that may become overdue
 }
 
-// A Membership is the place of a connection in its Registry. The zero value is none.
+// A Membership records the position of a connection in its Registry. The zero value means that it is not registered.
 type Membership struct{ place, overduePlace eventloop.Element }
 
 // IsRegistered reports whether the connection is in the registry.
@@ -31,16 +31,16 @@
 // Len returns the number of connections.
 func (r *Registry[T]) Len() int { return r.connections.Len() }
 
-// IsFull reports whether there is no room for another connection.
+// IsFull reports whether the limit on connections is reached.
 func (r *Registry[T]) IsFull() bool { return r.Len() >= r.Max }
 
-// Oldest iterates from the connection that has been idle for longest.
+// Oldest iterates over the connections from the least to the most recently used.
 func (r *Registry[T]) Oldest() iter.Seq[T] { return r.connections.Oldest() }
 
-// Latest iterates from the connection that was used last.
+// Latest iterates over the connections from the most to the least recently used.
 func (r *Registry[T]) Latest() iter.Seq[T] { return r.connections.Latest() }
 
-// Snapshot returns the connections that are open now.
+// Snapshot returns a copy of the list of connections.
 func (r *Registry[T]) Snapshot() []Connection {
 	all := make([]Connection, 0, r.Len())
 	for c := range r.Oldest() {
@@ -49,7 +49,7 @@
 	return all
 }
 
-// Add adds a connection that was just opened.
+// Add registers a newly opened connection.
 func (r *Registry[T]) Add(c T, m *Membership) {
 	m.place = r.connections.Add(c)
 	m.overduePlace = r.mayOverdue.Add(c)
@@ -61,10 +61,10 @@
 	r.mayOverdue.Remove(&m.overduePlace)
 }
 
-// Touch makes a connection the most recently used.
+// Touch marks a connection as the most recently used.
 func (r *Registry[T]) Touch(m *Membership) { r.connections.Touch(m.place) }
 
-// RecordInput notes what a piece of input has brought: a complete message, part of one, or both.
+// RecordInput records whether received data completed a message, left a partial one, or both.
 func (r *Registry[T]) RecordInput(c T, m *Membership, complete, partial bool) {
 	now := r.host.Loop.Now()
 	c.Conn().RecordInput(now, complete, partial)
@@ -73,13 +73,13 @@
 	}
 }
 
-// CloseOverdue closes the connections that are overdue, have no open set-up and have received nothing just now. It
-// guards the process's descriptors.
+// CloseOverdue closes connections that are overdue, have no open set-up and have no unread data in their socket. It
+// keeps silent connections from using up the process's file descriptors.
 func (r *Registry[T]) CloseOverdue(now time.Duration) {
 	for c := range r.mayOverdue.Oldest() {
 		conn := c.Conn()
 		if !conn.IsOverdue(now) {
-			break // those behind it have been silent for less long
+			break // the remaining connections became silent later
 		}
 		if conn.IsOpen() && !c.HasOpenSetup() && !conn.ReadPending(c.HandleData) {
 			r.host.Counters.ClosedOverdue++
@@ -88,7 +88,7 @@
 	}
 }
 
-// HasUnreadOutput reports whether a caller has not read all that was written to it.
+// HasUnreadOutput reports whether any caller has not read all of the output written to it.
 func (r *Registry[T]) HasUnreadOutput() bool {
 	for c := range r.connections.Oldest() {
 		if c.Conn().HasUnreadOutput() {
