--- a/internal/frontend/jsonclient/client.go
+++ b/internal/frontend/jsonclient/client.go
@@ -13,24 +13,24 @@
 	"olivedale/internal/frontend"
 )
 
-// A reliability is how likely a connection is to pass a release on.
+// A reliability is a rank of connections by how likely their client is to act on a release.
 type reliability int
 
 const (
-	unproven      reliability = iota
-	established               // it has had an established call
-	confirming                // it has confirmed a release
-	reliabilities             // their number
+	unproven      reliability = iota // no established call and no confirmed release yet
+	established                      // has had an established call
+	confirming                       // has confirmed a release
+	reliabilities                    // number of levels
 )
 
-// A Client is one connection from a caller.
+// A Client is one connection from a caller that speaks JSON lines.
 type Client struct {
 	frontend            *Frontend
 	conn                *eventloop.Conn
 	reader              jsonl.Reader
-	openSetups          map[string]bool // set-ups that are not answered, by the call's id
-	unconfirmed         []release       // sent and not confirmed
-	hasEstablishedCall  bool            // a call that it asked for was established
+	openSetups          map[string]bool // unanswered set-ups, by call id
+	unconfirmed         []release       // releases sent but not confirmed
+	hasEstablishedCall  bool            // a call set up on this connection was established
 	hasConfirmedRelease bool
 	membership          frontend.Membership
 	reliability         reliability
@@ -48,13 +48,13 @@
 // HasOpenSetup implements frontend.Connection.
 func (c *Client) HasOpenSetup() bool { return len(c.openSetups) > 0 }
 
-// OpenSetups returns the number of set-ups that are not answered.
+// OpenSetups returns the number of unanswered set-ups.
 func (c *Client) OpenSetups() int { return len(c.openSetups) }
 
 // HasSetup reports whether the set-up of a call is open on this connection.
 func (c *Client) HasSetup(id string) bool { return c.openSetups[id] }
 
-// updateReliability moves the connection among those of its reliability.
+// updateReliability moves the connection to the list of its current reliability.
 func (c *Client) updateReliability() {
 	level := unproven
 	switch {
@@ -71,7 +71,7 @@
 	c.reliabilityPlace = c.frontend.byReliability[level].Add(c)
 }
 
-// addUnconfirmed remembers a release that was sent, and forgets those that were sent long ago.
+// addUnconfirmed stores a sent release and drops those that were sent too long ago to be resent.
 func (c *Client) addUnconfirmed(r release) {
 	recent := slices.DeleteFunc(c.unconfirmed, func(earlier release) bool {
 		return r.requestedAt-earlier.requestedAt > confirmationTimeout
@@ -79,8 +79,8 @@
 	c.unconfirmed = append(recent, r)
 }
 
-// HandleClose implements frontend.Connection. Where a write failed, what the connection brought before still counts,
-// and calls whose answer was not written are released: nobody has heard that they are established.
+// HandleClose implements frontend.Connection. If a write failed, it first processes the data received before, and then
+// releases the calls whose answer was not written out, because no caller knows that they are established.
 func (c *Client) HandleClose(err error) {
 	c.conn.MarkClosed()
 	if eventloop.IsFailedWrite(err) {
@@ -92,7 +92,8 @@
 	c.remove()
 }
 
-// remove takes the connection off the frontend's lists and gives up what is open on it.
+// remove removes the connection from the frontend's lists, abandons its open set-ups and resends recent unconfirmed
+// releases on other connections.
 func (c *Client) remove() {
 	f := c.frontend
 	f.clients.Remove(&c.membership)
@@ -102,7 +103,7 @@
 	}
 	now := f.host.Loop.Now()
 	for _, r := range c.unconfirmed {
-		if now-r.requestedAt < confirmationTimeout { // it may have crossed the close
+		if now-r.requestedAt < confirmationTimeout { // the client may not have read it before the close
 			f.sendRelease(release{id: r.id, cause: r.cause, requestedAt: now, origin: r.origin})
 		}
 	}
@@ -131,8 +132,8 @@
 	f.clients.RecordInput(c, &c.membership, isComplete, c.reader.HasPartial())
 }
 
-// handleLastData handles what the connection brought before it broke: releases count on whatever connection they
-// arrive, but the set-ups have lost their caller.
+// handleLastData handles data that was received before the connection broke. Releases are processed; set-ups are
+// ignored because their caller can no longer be answered.
 func (c *Client) handleLastData(data []byte) {
 	_ = c.reader.Feed(data, func(m *jsonl.Message) bool {
 		return m.Verb == jsonl.Start || c.handleMessage(m) == nil
@@ -149,20 +150,20 @@
 		c.handleConfirmation(m.Tag)
 	case jsonl.Echo:
 		c.handleTest(m.Tag)
-	case jsonl.Pending, jsonl.Load: // mean nothing here
+	case jsonl.Pending, jsonl.Load: // not used by the controller
 	default:
-		return fmt.Errorf("verb %.20q", m.Verb)
+		return fmt.Errorf("unknown verb %.20q", m.Verb)
 	}
 	return nil
 }
 
-// Results of a test of the connection.
+// Result codes of a liveness probe.
 const (
 	testFailed = 0
 	testPassed = 1
 )
 
-// handleTest answers a test of the connection. It fails where the process is about to end.
+// handleTest answers a liveness probe. The result is testFailed when the process is about to exit.
 func (c *Client) handleTest(tag string) {
 	host := c.frontend.host
 	host.Counters.Echoes++
@@ -195,17 +196,17 @@
 		if !wasOpen {
 			delete(c.openSetups, id)
 		}
-		return fmt.Errorf("tag %s: %w", id, err)
+		return fmt.Errorf("set-up %s: %w", id, err)
 	}
 	return nil
 }
 
 func (c *Client) handleRelease(m *jsonl.Message) error {
 	if !callid.Valid(m.Tag) {
-		return fmt.Errorf("tag %.20q", m.Tag)
+		return fmt.Errorf("invalid tag %.20q", m.Tag)
 	}
 	if c.frontend.host.IsDisconnected() {
-		return nil // no exchange would get it, so it is not confirmed
+		return nil // it cannot be forwarded to an exchange, so do not confirm it
 	}
 	delete(c.openSetups, m.Tag)
 	if c.frontend.host.Calls.ReleaseByCaller(m.Tag, m.ResultCode) {
@@ -246,8 +247,8 @@
 	c.write(m)
 }
 
-// CallWithdrawn implements call.Client. It bounds the connection's table: nothing else takes set-ups off it that are
-// given up, or asked for again, on another connection.
+// CallWithdrawn implements call.Client. It removes set-ups that were abandoned or requested again on another
+// connection; without it the connection's table would grow without limit.
 func (c *Client) CallWithdrawn(id string) { delete(c.openSetups, id) }
 
 // Frontend implements call.Client.
--- a/internal/frontend/jsonclient/frontend.go
+++ b/internal/frontend/jsonclient/frontend.go
@@ -1,5 +1,6 @@
-// Package jsonclient is the frontend of the platform's own protocol of JSON lines: it accepts callers' connections,
-// passes their set-ups and releases to the manager of calls and writes the answers. It never decides on a call.
+// Package jsonclient implements the frontend for the JSON-lines protocol of the platform. It accepts connections from
+// callers, passes their set-ups and releases to the call manager and writes the answers. It makes no decisions about
+// calls.
 package jsonclient
 
 import (
@@ -14,36 +15,37 @@
 )
 
 const (
-	// confirmationTimeout: a release on a connection that closes within this time is sent again on another.
+	// confirmationTimeout is the age up to which an unconfirmed release is resent on another connection when its
+	// connection closes.
 	confirmationTimeout = time.Second
-	// maxReleaseAge is when a release that no connection could take is dropped.
+	// maxReleaseAge is the age at which a release that could not be sent to a reliable connection is dropped.
 	maxReleaseAge = 8 * time.Second
-	// firstSetupTime is how long after a connection was opened its first set-up may be on its way.
+	// firstSetupTime is how long after a connection was opened its first set-up may still be in transit.
 	firstSetupTime = 50 * time.Millisecond
-	// maxQueuedShift bounds the releases that wait for a connection: 1<<maxQueuedShift for each MB of memory.
+	// maxQueuedShift limits the queued releases to 1<<maxQueuedShift per MB of memory.
 	maxQueuedShift = 7
 )
 
-// A Frontend accepts callers that speak the platform's protocol.
+// A Frontend accepts connections from callers that speak JSON lines.
 type Frontend struct {
 	host          *frontend.Host
 	clients       *frontend.Registry[*Client]
 	byReliability [reliabilities]eventloop.IdleList[*Client]
-	queued        []release // releases that no reliable connection could take
+	queued        []release // releases for which there was no reliable connection
 }
 
 var _ frontend.Frontend = (*Frontend)(nil)
 
-// A release is the end of a call that a caller is to be notified of.
+// A release is a notification to the caller that a call has ended.
 type release struct {
 	id          string
 	cause       int
 	requestedAt time.Duration
-	origin      call.Client // asked for the call; nil: not known
-	sentOn      *Client     // has got it, but may not pass it on
+	origin      call.Client // connection that requested the call; nil if not known
+	sentOn      *Client     // connection that it was last sent on; nil if not sent
 }
 
-// New returns a frontend of at most maxClients connections.
+// New returns a frontend that accepts at most maxClients connections.
 func New(host *frontend.Host, maxClients int) *Frontend {
 	return &Frontend{host: host, clients: frontend.NewRegistry[*Client](host, maxClients)}
 }
@@ -51,10 +53,10 @@
 // Clients returns the open connections.
 func (f *Frontend) Clients() *frontend.Registry[*Client] { return f.clients }
 
-// QueuedReleases returns the number of releases that no reliable connection could take.
+// QueuedReleases returns the number of releases that wait for a reliable connection.
 func (f *Frontend) QueuedReleases() int { return len(f.queued) }
 
-// Accept takes a connection, if need be in place of an idle one; false: there is no room.
+// Accept accepts a connection, closing an idle one if the limit is reached. It returns false if there is no room.
 func (f *Frontend) Accept(socket gnet.Conn) bool {
 	if f.clients.IsFull() {
 		idle := f.EvictionCandidate()
@@ -78,9 +80,9 @@
 	return true
 }
 
-// EvictionCandidate returns the connection to close for a new one, of those without an open set-up: one that never had
-// an established call, else the one that has been idle for longest. A silent one whose first set-up may be on its way
-// comes last.
+// EvictionCandidate returns the connection to close to make room for a new one, or nil if there is none. Only
+// connections without an open set-up are considered: preferably one that never had an established call, otherwise the
+// least recently used. A new connection whose first set-up may still be in transit is the last choice.
 func (f *Frontend) EvictionCandidate() *Client {
 	now := f.host.Loop.Now()
 	var idle, fresh *Client
@@ -121,7 +123,7 @@
 	f.sendRelease(release{id: id, cause: cause, requestedAt: f.host.Loop.Now(), origin: origin})
 }
 
-// retryReleases sends the queued releases that are not too old.
+// retryReleases retries the queued releases and drops those older than maxReleaseAge.
 func (f *Frontend) retryReleases() {
 	queued := f.queued
 	f.queued = nil
@@ -135,9 +137,10 @@
 	}
 }
 
-// releaseTarget returns the connection for a release: the one that asked for the call, else the most recently used of
-// the most reliable ones. Connections that test the program, or stay silent, read releases and pass them on to nobody;
-// if there are no others the latest is returned, and isReliable is false.
+// releaseTarget returns the connection on which to send a release: the one that requested the call if it is open,
+// otherwise the most recently used of the most reliable ones. Health checks and silent connections read releases
+// without acting on them; if there are only such connections, the most recently used one is returned with isReliable
+// false.
 func (f *Frontend) releaseTarget(r release) (target *Client, isReliable bool) {
 	origin, ok := r.origin.(*Client)
 	if ok && origin.membership.IsRegistered() && origin.conn.IsOpen() {
@@ -153,8 +156,8 @@
 	return nil, false
 }
 
-// sendRelease writes a release. One that no reliable connection could take is sent again on the next that turns out to
-// be reliable.
+// sendRelease sends a release. If there is no reliable connection, the release is also queued, and sent again once a
+// connection has proven reliable.
 func (f *Frontend) sendRelease(r release) {
 	target, isReliable := f.releaseTarget(r)
 	isUnsent := r.sentOn == nil || !r.sentOn.conn.IsOpen()
@@ -168,7 +171,7 @@
 		return
 	}
 	if len(f.queued) >= f.host.Config.MemoryMB<<maxQueuedShift {
-		f.queued = f.queued[1:] // bounds the memory where exchanges release calls and no caller is there
+		f.queued = f.queued[1:] // limits the memory if exchanges release calls while no caller is connected
 		f.host.Counters.ReleasesDiscarded++
 	}
 	f.queued = append(f.queued, r)
--- a/internal/frontend/jsonclient/setup.go
+++ b/internal/frontend/jsonclient/setup.go
@@ -12,22 +12,22 @@
 	"olivedale/internal/frontend"
 )
 
-// A setup is a set-up as a caller asks for it.
+// A setup is a set-up as requested by a caller.
 type setup struct {
 	request call.Request
-	// isPossible is false for a set-up that can be read and that no exchange could carry: it is rejected, and no
-	// exchange gets it.
+	// isPossible is false for a well-formed set-up that no exchange can carry. It is rejected without being offered to
+	// an exchange.
 	isPossible bool
 }
 
-// extras are the further options of a set-up.
+// extras holds the additional options of a set-up.
 type extras struct {
 	preferredPool int
 	circuits      int
 	reestablish   bool
 }
 
-// parseSetup reads a set-up. An error means that its connection is to be closed.
+// parseSetup parses a set-up. If it returns an error, the connection must be closed.
 func (f *Frontend) parseSetup(m *jsonl.Message) (s setup, err error) {
 	s.request = call.Request{
 		ID:            m.Tag,
@@ -38,17 +38,17 @@
 	}
 	r := &s.request
 	if !callid.Valid(r.ID) {
-		return s, fmt.Errorf("tag %.20q", m.Tag)
+		return s, fmt.Errorf("invalid tag %.20q", m.Tag)
 	}
 	wait, err := strconv.ParseFloat(m.Option("left"), 64)
 	if err != nil || !frontend.IsValidWait(wait) {
-		return s, fmt.Errorf("left %.20q", m.Option("left"))
+		return s, fmt.Errorf("invalid option left %.20q", m.Option("left"))
 	}
 	cfg := f.host.Config
 	r.RepeatUnsafe = cfg.RepeatUnsafe(r.Class)
 	r.Deadline = f.host.Deadline(r.Class, frontend.Milliseconds(wait))
 	if !sip.IsSafeValue(r.Class) || !sip.IsSafeValue(r.Number) {
-		return s, fmt.Errorf("class %.20q or key %.20q", r.Class, r.Number)
+		return s, fmt.Errorf("invalid class %.20q or key %.20q", r.Class, r.Number)
 	}
 	e, err := parseExtras(m.Option("extras"))
 	if err != nil {
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-// parseExtras reads options such as 'dest:2;width:1'. Unknown names are ignored if their values are numbers.
+// parseExtras parses additional options such as 'dest:2;width:1'. Unknown names are ignored if their value is a number.
 func parseExtras(text string) (e extras, err error) {
 	e = extras{preferredPool: frontend.AnyPool, circuits: 1}
 	for part := range strings.SplitSeq(text, ";") {
@@ -71,7 +71,7 @@
 		}
 		number, err := strconv.Atoi(value)
 		if err != nil {
-			return e, fmt.Errorf("extras %.40q", text)
+			return e, fmt.Errorf("invalid extras %.40q", text)
 		}
 		switch name {
 		case "dest":
--- a/internal/frontend/jsonclient/setup_test.go
+++ b/internal/frontend/jsonclient/setup_test.go
@@ -11,12 +11,12 @@
 		"again:2;;width:0;unknown:7": {preferredPool: -1, circuits: 0},
 	} {
 		if got, err := parseExtras(text); err != nil || got != want {
-			t.Errorf("%q: %+v, %v, want %+v", text, got, err, want)
+			t.Errorf("%q: got %+v, %v, want %+v", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"dest", "dest:x", "unknown:x", "width:1:2"} {
 		if got, err := parseExtras(text); err == nil {
-			t.Errorf("%q: %+v, want an error", text, got)
+			t.Errorf("%q: got %+v, want an error", text, got)
 		}
 	}
 }
