--- a/internal/frontend/gateway/call.go
+++ b/internal/frontend/gateway/call.go
@@ -12,21 +12,21 @@
 	"olivedale/internal/frontend"
 )
 
-// A gatewayCall is the frontend's side of a call. It is the client that gets the call's answer.
+// A gatewayCall is the frontend's state of one call. It implements call.Client to receive the call's answer.
 type gatewayCall struct {
 	frontend      *Frontend
-	answerTo      *Gateway // where the answer goes; nil once it is given
+	answerTo      *Gateway // connection on which the set-up is answered; nil once answered
 	entry         *transaction.Entry
 	transactionID uint32
 	messageID     string // of the gateway
 	termination   string
 	id            string
-	context       string // "": the call is not established
+	context       string // "" until the call is established
 }
 
 var _ call.Client = (*gatewayCall)(nil)
 
-// A terminationKey names a gateway's termination.
+// A terminationKey identifies a termination of a gateway.
 type terminationKey struct{ messageID, termination string }
 
 // A callTable holds the calls of all gateways.
@@ -59,8 +59,8 @@
 	}
 }
 
-// find returns the call that a command means: by its context, or by its termination alone while the set-up is open and
-// its context not known.
+// find returns the call that a command refers to. It is found by its context, or with the wildcard context by its
+// termination, because the gateway does not know the context while the set-up is open.
 func (t *callTable) find(messageID string, a *h248.Action, c *h248.Command) (*gatewayCall, *h248.Error) {
 	switch a.Context {
 	case "-", "$":
@@ -83,7 +83,7 @@
 	return found, nil
 }
 
-// addCall sets a call up. Everything is checked before anything is done.
+// addCall sets up a call. It validates the whole request before it changes any state.
 func (g *Gateway) addCall(messageID string, entry *transaction.Entry, t *h248.Transaction, a *h248.Action) *h248.Error {
 	f := g.frontend
 	command := a.Commands[0]
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// checkAdd checks that an Add names a new context and a termination that is free.
+// checkAdd checks that an Add requests a new context and names an unused termination.
 func (f *Frontend) checkAdd(messageID, context, termination string) *h248.Error {
 	if context != "$" {
 		return &h248.Error{Code: h248.NotImplemented, Text: "an Add goes to a new context"}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// parseRequest reads a set-up, which has no id yet.
+// parseRequest parses a set-up. The caller has to assign the call id.
 func (f *Frontend) parseRequest(c *h248.Command) (r call.Request, parseErr *h248.Error) {
 	description, ok := transaction.Description(c, "Remote")
 	if !ok {
@@ -198,7 +198,8 @@
 	c.fail(code, text)
 }
 
-// CallWithdrawn implements call.Client. What gives an H.248 call up replies to its transaction itself.
+// CallWithdrawn implements call.Client. It does nothing, because the code that abandons a call also replies to its
+// transaction.
 func (c *gatewayCall) CallWithdrawn(string) {}
 
 // Frontend implements call.Client.
@@ -208,7 +209,7 @@
 	c.answer(&h248.Action{Context: "$", Err: &h248.Error{Code: code, Text: text}})
 }
 
-// answer replies to the transaction of the set-up.
+// answer sends the reply to the transaction of the set-up.
 func (c *gatewayCall) answer(a *h248.Action) {
 	g := c.answerTo
 	c.answerTo = nil
--- a/internal/frontend/gateway/command.go
+++ b/internal/frontend/gateway/command.go
@@ -9,12 +9,13 @@
 	"olivedale/internal/codec/h248/transaction"
 )
 
-// rootTermination names the controller itself, in any case.
+// rootTermination is the name of the termination that stands for the controller itself. It is not case-sensitive.
 const rootTermination = "ROOT"
 
 func isRoot(termination string) bool { return strings.EqualFold(termination, rootTermination) }
 
-// runActions runs commands that are done at once, up to the first that fails, and returns the actions of the reply.
+// runActions executes commands that complete immediately, until the first failure, and returns the actions of the
+// reply.
 func (g *Gateway) runActions(messageID string, actions []*h248.Action) (replies []*h248.Action) {
 	for _, a := range actions {
 		reply := &h248.Action{Context: a.Context}
@@ -58,7 +59,7 @@
 	return done, nil
 }
 
-// runRelease ends the call that a command names.
+// runRelease releases the call that a command refers to.
 func (g *Gateway) runRelease(messageID string, a *h248.Action, c *h248.Command, cause int) *h248.Error {
 	found, err := g.frontend.calls.find(messageID, a, c)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// changeService handles what a gateway says of its own state, or the agent's order to shut down.
+// changeService handles a state change of a gateway, or a request of the agent to shut down.
 func (g *Gateway) changeService(messageID string, c *h248.Command) *h248.Error {
 	f := g.frontend
 	method := h248.Value(c.Descriptors, "Services", "Method")
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// modify handles an order on the table of numbers, or an exchange of clocks.
+// modify handles a command on the number table, or a clock exchange.
 func (g *Gateway) modify(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	if g.isAdmin && c.Termination == adminapi.NumberingTermination {
 		return g.frontend.admin.OrderNumbering(c)
@@ -91,8 +92,8 @@
 	return g.exchangeClocks(c)
 }
 
-// exchangeClocks answers the agent's question for our time, and records the time stamps of its last exchange. It does
-// so on the admin address only: others could forge records.
+// exchangeClocks replies with this controller's time and records the timestamps of the agent's previous exchange. It is
+// available on the admin address only, because other clients could forge records.
 func (g *Gateway) exchangeClocks(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	loop := g.frontend.host.Loop
 	receivedAt := loop.Now()
@@ -111,7 +112,7 @@
 	return adminapi.ClockCommand("", stamps).Descriptors, nil
 }
 
-// audit returns the state of the controller, or on the admin address of one of its parts.
+// audit returns the state of the controller or, on the admin address, of its number table or overload control.
 func (g *Gateway) audit(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	admin := g.frontend.admin
 	if g.isAdmin && c.Termination == adminapi.NumberingTermination {
--- a/internal/frontend/gateway/frontend.go
+++ b/internal/frontend/gateway/frontend.go
@@ -1,6 +1,6 @@
-// Package gateway is the frontend of H.248: media gateways add a termination to a new context to set a call up, and
-// subtract it to release the call. Their calls go through the same manager as all others and so keep the same rules.
-// The package also serves the agent on the admin address. It never decides on a call.
+// Package gateway implements the H.248 frontend. Media gateways add a termination to a new context to set up a call,
+// and subtract it to release the call. Their calls go through the same call manager as all others, so the same
+// guarantees apply. The package also serves the agent on the admin address. It makes no decisions about calls.
 package gateway
 
 import (
@@ -17,29 +17,29 @@
 )
 
 const (
-	// maxTransactionsShift bounds the transactions that are remembered: 1<<maxTransactionsShift for each MB of memory.
+	// maxTransactionsShift limits the stored transactions to 1<<maxTransactionsShift per MB of memory.
 	maxTransactionsShift = 6
-	// maxNotifiesShift bounds the releases that are not replied to: 1<<maxNotifiesShift for each MB of memory.
+	// maxNotifiesShift limits the stored Notifies without a reply to 1<<maxNotifiesShift per MB of memory.
 	maxNotifiesShift = 4
 )
 
-// An Administrator serves what the admin address offers beside calls.
+// An Administrator implements the administrative commands, most of which are available on the admin address only.
 type Administrator interface {
-	// Audit returns the state and the counters of the program; isAdmin: for the admin address.
+	// Audit returns the state and the counters of the program; isAdmin selects the extended form for the admin address.
 	Audit(isAdmin bool) []*h248.Node
-	// AuditNumbering returns the versions of the table of numbers; ok is false where there is none.
+	// AuditNumbering returns the versions of the number table; ok is false if there is no table.
 	AuditNumbering() (nodes []*h248.Node, ok bool)
-	// AuditOverload returns the state of the shared overload control; ok is false where it is off.
+	// AuditOverload returns the state of the shared overload control; ok is false if it is disabled.
 	AuditOverload() (nodes []*h248.Node, ok bool)
-	// OrderNumbering begins an operator's order on the table of numbers.
+	// OrderNumbering starts an operator's command on the number table.
 	OrderNumbering(c *h248.Command) ([]*h248.Node, *h248.Error)
-	// RecordClock records the time stamps of an exchange of clocks with a peer.
+	// RecordClock records the timestamps of a clock exchange with a peer.
 	RecordClock(peer string, stamps [4]int64)
-	// BeginShutdown begins an orderly shutdown.
+	// BeginShutdown starts a graceful shutdown.
 	BeginShutdown()
 }
 
-// A Frontend accepts media gateways and the agent.
+// A Frontend accepts connections from media gateways and from the agent.
 type Frontend struct {
 	host          *frontend.Host
 	admin         Administrator
@@ -50,12 +50,12 @@
 	calls         callTable
 	lastContext   uint32
 	lastNotify    uint32
-	pendingNotify map[uint32]*pendingNotify // by the id of the transaction
+	pendingNotify map[uint32]*pendingNotify // by transaction id
 }
 
 var _ frontend.Frontend = (*Frontend)(nil)
 
-// A pendingNotify is a release that a gateway has not replied to.
+// A pendingNotify is the notification of a release to which the gateway has not replied.
 type pendingNotify struct {
 	messageID string
 	text      []byte
@@ -63,7 +63,7 @@
 	isSent    bool // on any connection
 }
 
-// New returns a frontend of at most maxGateways connections.
+// New returns a frontend that accepts at most maxGateways connections.
 func New(host *frontend.Host, admin Administrator, maxGateways int) *Frontend {
 	return &Frontend{
 		host:          host,
@@ -80,10 +80,11 @@
 // Gateways returns the open connections.
 func (f *Frontend) Gateways() *frontend.Registry[*Gateway] { return f.gateways }
 
-// PendingNotifies returns the number of releases that gateways have not replied to.
+// PendingNotifies returns the number of release notifications to which gateways have not replied.
 func (f *Frontend) PendingNotifies() int { return len(f.pendingNotify) }
 
-// Accept takes a connection; isAdmin: on the admin address. False: there is no room.
+// Accept accepts a connection; isAdmin tells that it was made to the admin address. It returns false if the limit on
+// connections is reached.
 func (f *Frontend) Accept(socket gnet.Conn, isAdmin bool) bool {
 	if f.gateways.IsFull() {
 		f.host.Counters.RejectedFull++
@@ -101,8 +102,8 @@
 	return true
 }
 
-// HasPendingWork implements frontend.Frontend: it reports whether a gateway waits for a reply that is not written out,
-// or for a release that has not been sent.
+// HasPendingWork implements frontend.Frontend. It reports whether a gateway has unread replies or there is a release
+// notification that was never sent.
 func (f *Frontend) HasPendingWork() bool {
 	for _, n := range f.pendingNotify {
 		if !n.isSent {
@@ -115,9 +116,9 @@
 // Connections implements frontend.Frontend.
 func (f *Frontend) Connections() []frontend.Connection { return f.gateways.Snapshot() }
 
-// NotifyRelease implements call.Frontend: it notifies the gateway of the call's end, on any of its connections, and
-// again on the next until the gateway replies. Gateways learn the end of a call that this process never knew by an
-// audit.
+// NotifyRelease implements call.Frontend. It notifies the gateway of the release on any of its connections, and again
+// on each new connection until the gateway replies. For calls that this process does not know, gateways detect the end
+// by an audit.
 func (f *Frontend) NotifyRelease(_ call.Client, id string, cause int) {
 	c := f.calls.byID[id]
 	if c == nil {
@@ -128,7 +129,7 @@
 	if len(f.pendingNotify) < f.host.Config.MemoryMB<<maxNotifiesShift {
 		f.pendingNotify[f.lastNotify] = n
 	} else {
-		f.host.Counters.ReleasesDiscarded++ // bounds the memory where gateways confirm nothing
+		f.host.Counters.ReleasesDiscarded++ // limits the memory if gateways do not reply
 	}
 	f.host.Counters.ReleasesSent++
 	connections := f.byMessageID[c.messageID]
@@ -143,7 +144,7 @@
 	}
 }
 
-// newNotify returns the transaction that notifies a gateway of a call's end.
+// newNotify returns the transaction that notifies a gateway of the release of a call.
 func (f *Frontend) newNotify(c *gatewayCall, cause int) *pendingNotify {
 	f.lastNotify++
 	command := &h248.Command{
@@ -163,7 +164,7 @@
 	}
 }
 
-// CloseOverdue implements frontend.Frontend. It also drops releases that gateways have not replied to in time.
+// CloseOverdue implements frontend.Frontend. It also drops release notifications that got no reply in time.
 func (f *Frontend) CloseOverdue(now time.Duration) {
 	f.gateways.CloseOverdue(now)
 	for id, n := range f.pendingNotify {
@@ -174,7 +175,7 @@
 	}
 }
 
-// newContext returns the name of a new context.
+// newContext returns a new context id.
 func (f *Frontend) newContext() string {
 	f.lastContext++
 	return strconv.FormatUint(uint64(f.lastContext), 10)
--- a/internal/frontend/gateway/gateway.go
+++ b/internal/frontend/gateway/gateway.go
@@ -14,10 +14,10 @@
 	frontend       *Frontend
 	conn           *eventloop.Conn
 	framer         h248.Framer
-	messageID      string // of the latest message; "": none has come
+	messageID      string // of the latest message; "" before the first message
 	isAdmin        bool
 	membership     frontend.Membership
-	messageIDPlace eventloop.Element // among the connections of the same message id
+	messageIDPlace eventloop.Element // position among the connections with the same message id
 }
 
 var _ frontend.Connection = (*Gateway)(nil)
@@ -55,7 +55,7 @@
 	err := g.framer.Feed(data, func(text []byte) bool {
 		isComplete = true
 		m, parseErr := h248.Parse(text)
-		if parseErr != nil { // nothing of it has run
+		if parseErr != nil { // no command of the message has been executed
 			g.rejectMessage(parseErr)
 			return false
 		}
@@ -68,7 +68,7 @@
 	f.gateways.RecordInput(g, &g.membership, isComplete, g.framer.HasPartial())
 }
 
-// rejectMessage answers a message that cannot be read and closes the connection.
+// rejectMessage replies to a message that cannot be parsed with an error and closes the connection.
 func (g *Gateway) rejectMessage(parseErr *h248.Error) {
 	b, err := h248.AppendFrame(nil, &h248.Message{MID: g.frontend.messageID, Err: parseErr})
 	if err == nil {
@@ -82,7 +82,8 @@
 	g.frontend.host.Loop.Close(g.conn)
 }
 
-// handleLastData handles what the connection brought before it broke. The set-ups on it have lost their caller.
+// handleLastData handles data that was received before the connection broke. Set-ups are ignored because their caller
+// can no longer be answered.
 func (g *Gateway) handleLastData(data []byte) {
 	_ = g.framer.Feed(data, func(text []byte) bool {
 		m, parseErr := h248.Parse(text)
@@ -94,7 +95,7 @@
 	})
 }
 
-// HandleClose implements frontend.Connection. Where a write failed, what the connection brought before still counts.
+// HandleClose implements frontend.Connection. If a write failed, it first processes the data received before.
 func (g *Gateway) HandleClose(err error) {
 	g.conn.MarkClosed()
 	if eventloop.IsFailedWrite(err) {
@@ -103,8 +104,8 @@
 	g.remove()
 }
 
-// remove takes the connection off the frontend's lists and gives up the set-ups that are open on it. Their
-// transactions get the reply that says so, should they be repeated.
+// remove removes the connection from the frontend's lists and abandons its open set-ups. Their transactions are
+// completed with an error reply, which a repeat on another connection will get.
 func (g *Gateway) remove() {
 	f := g.frontend
 	f.gateways.Remove(&g.membership)
@@ -118,7 +119,7 @@
 	}
 }
 
-// setMessageID lists the connection under the message id of its gateway.
+// setMessageID moves the connection to the list of connections with the given message id; "" removes it from its list.
 func (g *Gateway) setMessageID(messageID string) {
 	f := g.frontend
 	if list := f.byMessageID[g.messageID]; list != nil {
@@ -151,12 +152,12 @@
 			delete(f.pendingNotify, t.ID)
 		case h248.Ack:
 			f.received.Acknowledge(m.MID, t.Acked)
-		case h248.Pending: // the reply follows
+		case h248.Pending: // the reply will follow
 		}
 	}
 }
 
-// sendPendingNotifies sends the releases that could not be sent to the gateway, or were not replied to.
+// sendPendingNotifies sends the release notifications to which the gateway has not replied.
 func (g *Gateway) sendPendingNotifies() {
 	for _, n := range g.frontend.pendingNotify {
 		if n.messageID == g.messageID && g.conn.IsOpen() {
@@ -165,15 +166,15 @@
 	}
 }
 
-// handleRequest carries a transaction out once; a repeat gets the same reply, on whatever connection it arrives.
+// handleRequest executes a transaction at most once. A repeat gets the same reply, on whichever connection it arrives.
 func (g *Gateway) handleRequest(messageID string, t *h248.Transaction) {
 	f := g.frontend
 	adds, commands := countCommands(t)
 	if adds > 0 && g.conn.State() == eventloop.Closed {
-		return // its caller has left; repeated on another connection it is one that has not run
+		return // its caller has disconnected; not stored, so that a repeat on another connection is executed
 	}
 	if adds == 0 && f.host.IsDisconnected() {
-		return // no exchange would get a release; without a reply it is repeated to the next process
+		return // a release cannot be forwarded; without a reply the gateway repeats it to the next process
 	}
 	entry, isNew := f.received.Begin(messageID, t.ID, f.host.Loop.Now())
 	switch {
@@ -209,14 +210,14 @@
 	return adds, commands
 }
 
-// onlyCommandAction returns the action that holds the only command of a transaction. Actions without a command may come
-// before and after it.
+// onlyCommandAction returns the action that contains the only command of a transaction. There may be actions without
+// commands before and after it.
 func onlyCommandAction(t *h248.Transaction) *h248.Action {
 	i := slices.IndexFunc(t.Actions, func(a *h248.Action) bool { return len(a.Commands) > 0 })
 	return t.Actions[i]
 }
 
-// handleRepeat replies to a transaction that has come before. Where that still runs, its answer follows the gateway to
+// handleRepeat replies to a transaction that was received before. If it is still running, its reply will be sent on
 // this connection.
 func (g *Gateway) handleRepeat(entry *transaction.Entry, t *h248.Transaction) {
 	f := g.frontend
@@ -240,8 +241,8 @@
 	g.send(entry.Reply())
 }
 
-// releaseCall ends a call from the gateway's side. A set-up that is open still has its transaction, which must not be
-// left without a reply.
+// releaseCall releases a call on behalf of the gateway. If the set-up is still open, its transaction is completed with
+// an error, because every transaction needs a reply.
 func (f *Frontend) releaseCall(c *gatewayCall, cause int) {
 	f.calls.remove(c)
 	f.host.Calls.ReleaseByCaller(c.id, cause)
@@ -250,7 +251,7 @@
 	}
 }
 
-// releaseAllOf ends the calls of a gateway that has forgotten them.
+// releaseAllOf releases all calls of a gateway that has lost its state.
 func (f *Frontend) releaseAllOf(messageID string) {
 	for _, c := range f.calls.byID {
 		if c.messageID == messageID {
