--- a/internal/backend/release.go
+++ b/internal/backend/release.go
@@ -5,8 +5,8 @@
 const (
 	// confirmationTimeout is the time after which an unconfirmed release is dropped.
 	confirmationTimeout = 32 * time.Second
-	// unknownCallInterval is the minimum time between two sends of the release of a call that may not be established. An
-	// exchange that hangs is redialled repeatedly, and must not receive all of these releases on every connection.
+	// unknownCallInterval is the minimum time between two sends of the release of a call that may not be established.
+	// An exchange that hangs is redialled repeatedly, and must not receive all of these releases on every connection.
 	unknownCallInterval = 2 * time.Second
 	// maxReleasesShift limits the pending releases of one exchange to 1<<maxReleasesShift per MB of memory.
 	maxReleasesShift = 5
