--- a/internal/codec/callid/callid.go
+++ b/internal/codec/callid/callid.go
@@ -1,10 +1,10 @@
-// Package callid checks the identifiers of calls, which are the same in all protocols.
+// Package callid validates call identifiers, which have the same form in all protocols.
 package callid
 
-// length is the number of characters of an identifier.
+// length is the number of characters in an identifier.
 const length = 16
 
-// Valid reports whether a text is a call's identifier: 16 hexadecimal digits. Anything else must not reach a header.
+// Valid reports whether s is a call identifier: 16 hexadecimal digits. Other texts must not be written into headers.
 func Valid(s string) bool {
 	if len(s) != length {
 		return false
--- a/internal/codec/callid/callid_test.go
+++ b/internal/codec/callid/callid_test.go
@@ -13,7 +13,7 @@
 		"9b1f03aa5c7e2d\r\n": false,
 	} {
 		if got := Valid(id); got != want {
-			t.Errorf("%q: %v, want %v", id, got, want)
+			t.Errorf("%q: got %v, want %v", id, got, want)
 		}
 	}
 }
--- a/internal/codec/jsonl/golden_test.go
+++ b/internal/codec/jsonl/golden_test.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// goldenMessages returns messages of every verb in both directions, and lines as other programs write them.
+// goldenMessages returns messages with every verb in both directions, and lines in the form that other programs write.
 func goldenMessages() []goldentest.Message {
 	const tag = "9b1f03aa5c7e2d41"
 	var all []goldentest.Message
@@ -36,7 +36,7 @@
 	return all
 }
 
-// TestGoldenMessages compares written messages with the committed bytes, and the parsed bytes with the committed dump.
+// TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
 	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages()) {
--- a/internal/codec/jsonl/message.go
+++ b/internal/codec/jsonl/message.go
@@ -1,11 +1,11 @@
-// Package jsonl is the codec of the callers' protocol: one JSON object on each line.
+// Package jsonl implements the codec of the callers' protocol: one JSON object per line.
 //
-// It owns the message type, the incremental reader and the writer. It knows nothing of calls and never opens a
-// connection. It does not use encoding/json because session descriptions must pass byte for byte, whether or not they
-// are valid UTF-8.
+// It contains the message type, the incremental reader and the writer. It keeps no call state and opens no connections.
+// It does not use encoding/json because session descriptions must be preserved byte for byte, whether or not they are
+// valid UTF-8.
 package jsonl
 
-// MaxMessageSize is the largest size of a message in bytes, its line feed included.
+// MaxMessageSize is the maximum size of a message in bytes, including its line feed.
 const MaxMessageSize = 16 << 10
 
 // Verbs of messages.
@@ -24,15 +24,15 @@
 type Message struct {
 	Verb, Tag     string
 	Options       []Option
-	ResultCode    int // the result code; it is sent only if HasRC is set
+	ResultCode    int // result code; written only if HasResultCode is set
 	HasResultCode bool
-	Blob          []byte // the session description; nil if the message has none
+	Blob          []byte // session description; nil if the message has none
 }
 
-// An Option is one member of a message's options. A number keeps its text.
+// An Option is one member of a message's options. The value of a number is its text as received.
 type Option struct{ Name, Value string }
 
-// Option returns the value of the first option with that name, "" if there is none.
+// Option returns the value of the first option with the given name, or "" if there is none.
 func (m *Message) Option(name string) string {
 	for _, o := range m.Options {
 		if o.Name == name {
--- a/internal/codec/jsonl/parser.go
+++ b/internal/codec/jsonl/parser.go
@@ -8,7 +8,7 @@
 
 var errNoVerb = errors.New("no verb")
 
-// Parse parses one line without its line feed. The message does not refer to the line's memory.
+// Parse parses one line without its line feed. The message does not share memory with the line.
 func Parse(line []byte) (*Message, error) {
 	s := scanner{text: line}
 	m := &Message{}
@@ -18,7 +18,7 @@
 	return m, nil
 }
 
-// message reads a message, which is the whole text.
+// message parses the whole text as one message.
 func (s *scanner) message(m *Message) error {
 	err := s.object(func(name string) error { return s.member(m, name) })
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// member reads the value of a message's member with that name. Values of unknown members are skipped.
+// member parses the value of the message member with the given name. Values of unknown members are skipped.
 func (s *scanner) member(m *Message, name string) (err error) {
 	switch name {
 	case "verb":
@@ -64,7 +64,7 @@
 	return opts, err
 }
 
-// resultCode reads a whole number, which may be quoted.
+// resultCode parses an integer, which may be quoted.
 func (s *scanner) resultCode() (int, error) {
 	text, err := s.scalar()
 	if err != nil {
--- a/internal/codec/jsonl/reader.go
+++ b/internal/codec/jsonl/reader.go
@@ -5,19 +5,19 @@
 	"errors"
 )
 
-// ErrTooLong reports a line that is longer than MaxMessageSize.
+// ErrTooLong is returned for a line that is longer than MaxMessageSize.
 var ErrTooLong = errors.New("jsonl: a line is longer than 16 KiB")
 
-// A Reader assembles messages from the pieces in which a connection delivers them. Its zero value is ready to use.
+// A Reader reassembles messages from the chunks that a connection delivers. The zero value is ready to use.
 type Reader struct {
-	partial []byte // the start of a line whose line feed has not arrived
+	partial []byte // start of a line whose line feed has not been received
 }
 
 // HasPartial reports whether a partial line is buffered.
 func (r *Reader) HasPartial() bool { return len(r.partial) > 0 }
 
-// Feed reads a piece and calls handle for each line that it completes, until handle returns false. Empty lines are
-// ignored. After an error, or once handle returned false, the reader must not be used again.
+// Feed processes a chunk and calls handle for each line that it completes, until handle returns false. Empty lines are
+// ignored. After an error, or once handle has returned false, the reader must not be used again.
 func (r *Reader) Feed(piece []byte, handle func(*Message) bool) error {
 	for len(piece) > 0 {
 		end := bytes.IndexByte(piece, '\n')
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// buffer keeps a piece without a line feed. A line that would exceed MaxMessageSize fails before its end arrives.
+// buffer stores a chunk without a line feed. It fails as soon as the line exceeds MaxMessageSize, without waiting for
+// its end.
 func (r *Reader) buffer(piece []byte) error {
 	if len(r.partial)+len(piece) >= MaxMessageSize {
 		return ErrTooLong
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// completeLine returns the buffered part of a line followed by its last part, without a carriage return at the end.
+// completeLine returns the buffered part of a line followed by last, without a trailing carriage return.
 func (r *Reader) completeLine(last []byte) []byte {
 	line := last
 	if len(r.partial) > 0 {
--- a/internal/codec/jsonl/reader_test.go
+++ b/internal/codec/jsonl/reader_test.go
@@ -10,7 +10,7 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the largest size, in bytes, of the pieces in which tests feed a reader.
+// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a reader.
 const maxPieceSize = 40
 
 var samples = []*Message{
@@ -20,7 +20,7 @@
 	{Verb: Echo, Tag: "", ResultCode: 0, HasResultCode: true},
 }
 
-// readAll feeds pieces to a reader and returns the messages it delivers.
+// readAll passes chunks to a new reader and returns the messages that it delivers.
 func readAll(pieces ...[]byte) ([]*Message, error) {
 	var r Reader
 	return testutil.FeedAll(r.Feed, pieces...)
@@ -57,7 +57,7 @@
 		`{"verb":"X","rc":1.5}`, `{"verb":"` + "\x01" + `"}`, `{"verb":"X","n":` + strings.Repeat("[", 100),
 	} {
 		if m, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%s is invalid, but was parsed as %+v", bad, m)
+			t.Errorf("invalid message %s was parsed as %+v", bad, m)
 		}
 	}
 }
@@ -66,13 +66,13 @@
 	fits := bytes.Repeat([]byte(" "), MaxMessageSize-1-len(`{"verb":"X"}`))
 	fits = append(append(fits, `{"verb":"X"}`...), '\n')
 	if got, err := readAll(fits); err != nil || len(got) != 1 {
-		t.Errorf("a line of 16 KiB: %d messages, %v", len(got), err)
+		t.Errorf("a line of 16 KiB: got %d messages, error %v", len(got), err)
 	}
 	if _, err := readAll(append([]byte(" "), fits...)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a longer line: %v", err)
+		t.Errorf("a longer line: got error %v, want ErrTooLong", err)
 	}
 	if _, err := readAll(bytes.Repeat([]byte("x"), MaxMessageSize)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a line without a line feed: %v", err)
+		t.Errorf("a line without a line feed: got error %v, want ErrTooLong", err)
 	}
 }
 
@@ -85,12 +85,13 @@
 		messages, err := readAll(text)
 		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxPieceSize)...)
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(messages, split) {
-			t.Errorf("in one piece %d messages and %v, in several %d and %v", len(messages), err, len(split), splitErr)
+			t.Errorf("in one chunk: %d messages, error %v; in several: %d messages, error %v",
+				len(messages), err, len(split), splitErr)
 		}
 		for _, m := range messages {
 			reparsed, err := Parse(bytes.TrimSuffix(Append(nil, m), []byte("\n")))
 			if err != nil || reparsed.Verb != m.Verb || reparsed.Tag != m.Tag || !bytes.Equal(reparsed.Blob, m.Blob) {
-				t.Errorf("%+v was written and parsed as %+v, %v", m, reparsed, err)
+				t.Errorf("%+v was written and then parsed as %+v, error %v", m, reparsed, err)
 			}
 		}
 	})
--- a/internal/codec/jsonl/scanner.go
+++ b/internal/codec/jsonl/scanner.go
@@ -10,12 +10,12 @@
 	"unicode/utf8"
 )
 
-// maxDepth bounds the nesting of skipped values. It limits the use of the stack.
+// maxDepth is the maximum nesting depth of skipped values. It limits the use of the stack.
 const maxDepth = 32
 
 var errUnexpectedEnd = errors.New("unexpected end of line")
 
-// A scanner reads the values of one JSON text in their order.
+// A scanner reads the values of one JSON text from start to end.
 type scanner struct {
 	text []byte
 	pos  int
@@ -27,7 +27,7 @@
 	}
 }
 
-// peek skips white space and returns the byte that follows, 0 at the end of the text.
+// peek skips white space and returns the next byte without consuming it, or 0 at the end of the text.
 func (s *scanner) peek() byte {
 	s.skipSpace()
 	if s.pos < len(s.text) {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// object reads an object and calls member with the name of each member. The callback must read the value.
+// object reads an object and calls member with the name of each member. The callback must read the member's value.
 func (s *scanner) object(member func(name string) error) error {
 	if err := s.expect('{'); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return string(b), err
 }
 
-// bytes reads a string. Bytes that are not escaped are not checked to be UTF-8.
+// bytes reads a string. It does not check that unescaped bytes are valid UTF-8.
 func (s *scanner) bytes() ([]byte, error) {
 	if err := s.expect('"'); err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 	return nil, errUnexpectedEnd
 }
 
-// appendEscape reads an escape sequence, whose backslash is consumed, and appends the character it denotes.
+// appendEscape reads the rest of an escape sequence after its backslash and appends the character that it denotes.
 func (s *scanner) appendEscape(value []byte) ([]byte, error) {
 	if s.pos >= len(s.text) {
 		return nil, errUnexpectedEnd
@@ -160,8 +160,7 @@
 	return nil, fmt.Errorf("unknown escape %q at byte %d", c, s.pos-1)
 }
 
-// unicodeEscape reads the digits of a \u escape and, if they are the first half of a surrogate pair, the escape that
-// is the second half.
+// unicodeEscape reads the digits of a \u escape and, if they are a surrogate, the second escape of the surrogate pair.
 func (s *scanner) unicodeEscape() (rune, error) {
 	r, err := s.hexDigits()
 	if err != nil || !utf16.IsSurrogate(r) {
@@ -186,7 +185,7 @@
 	return fmt.Errorf("unpaired surrogate before byte %d", s.pos)
 }
 
-// hexDigits reads the four digits of a \u escape.
+// hexDigits reads the four hexadecimal digits of a \u escape.
 func (s *scanner) hexDigits() (rune, error) {
 	const digits = 4
 	if s.pos+digits > len(s.text) {
--- a/internal/codec/jsonl/writer.go
+++ b/internal/codec/jsonl/writer.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// Append appends a message with its line feed to b. Options that the message does not have are written as an empty
-// object; a result code and a blob that it does not have are left out.
+// Append appends a message with its line feed to b. A message without options gets an empty options object; a missing
+// result code or blob is omitted.
 func Append(b []byte, m *Message) []byte {
 	b = append(b, `{"verb":`...)
 	b = appendString(b, m.Verb)
