--- a/internal/codec/sip/golden_test.go
+++ b/internal/codec/sip/golden_test.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// goldenMessages returns all requests and responses that the program sends, and some that exchanges send.
+// goldenMessages returns all requests and responses that the controller sends, and some that exchanges send.
 func goldenMessages() []goldentest.Message {
 	request := func(method string, cseq int, body string, headers ...Header) []byte {
 		return AppendRequest(nil, &Request{Method: method, Number: "7f3a", CallID: "9b1f03aa5c7e2d41", CSeq: cseq,
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestGoldenMessages compares written messages with the committed bytes, and the parsed bytes with the committed dump.
+// TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
 	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages()) {
--- a/internal/codec/sip/message.go
+++ b/internal/codec/sip/message.go
@@ -1,7 +1,8 @@
-// Package sip is the codec of the exchanges' protocol: SIP over TCP (RFC 3261), as far as a call controller needs it.
+// Package sip implements the subset of SIP over TCP (RFC 3261) that a call controller needs to communicate with
+// exchanges.
 //
-// It owns the message types, the incremental reader and the writer. It keeps no transactions or dialogs and never opens
-// a connection. Every message carries Content-Length.
+// It contains the message types, the incremental reader and the writer. It keeps no transactions or dialogs and opens
+// no connections. Every message must have a Content-Length.
 package sip
 
 import (
@@ -9,15 +10,15 @@
 	"strings"
 )
 
-// MaxMessageSize is the largest size of a message in bytes, its body included.
+// MaxMessageSize is the maximum size of a message in bytes, including its body.
 const MaxMessageSize = 16 << 10
 
 const protocolVersion = "SIP/2.0"
 
-// A Header is one header field. Its name is in the long form.
+// A Header is one header field. Compact names are expanded to their long form.
 type Header struct{ Name, Value string }
 
-// A Message is a request, which has a Method and a URI, or a response, which has a Status.
+// A Message is either a request, which has a Method and a URI, or a response, which has a Status.
 type Message struct {
 	Method, URI string
 	Status      int
@@ -28,7 +29,7 @@
 	Body        []byte
 }
 
-// Header returns the first value of a header field, "" if the message has none. Names are not case-sensitive.
+// Header returns the first value of a header field, or "" if the message has none. Names are not case-sensitive.
 func (m *Message) Header(name string) string {
 	for _, h := range m.Headers {
 		if strings.EqualFold(h.Name, name) {
@@ -44,7 +45,7 @@
 	return user
 }
 
-// ReleaseCause returns the Q.850 cause of the Reason header fields (RFC 3326), 0 if there is none.
+// ReleaseCause returns the Q.850 cause from the Reason header fields (RFC 3326), or 0 if there is none.
 func (m *Message) ReleaseCause() int {
 	for _, h := range m.Headers {
 		if !strings.EqualFold(h.Name, "Reason") {
@@ -57,7 +58,7 @@
 	return 0
 }
 
-// q850Cause returns N of a Reason value "Q.850;cause=N".
+// q850Cause returns N from a Reason value of the form "Q.850;cause=N".
 func q850Cause(reason string) (cause int, ok bool) {
 	parts := strings.Split(reason, ";")
 	if !strings.EqualFold(strings.TrimSpace(parts[0]), "Q.850") {
--- a/internal/codec/sip/parser.go
+++ b/internal/codec/sip/parser.go
@@ -19,7 +19,7 @@
 	"v": "Via",
 }
 
-// parseHead parses the first line and the header fields of a message, without the empty line at their end.
+// parseHead parses the first line and the header fields of a message. text excludes the empty line after them.
 func parseHead(text []byte) (m *Message, bodyLength int, err error) {
 	lines := strings.Split(string(text), "\r\n")
 	m = &Message{}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// parseHeaders parses header lines and unfolds those that begin with white space.
+// parseHeaders parses header lines. A line that begins with white space continues the previous one.
 func (m *Message) parseHeaders(lines []string) error {
 	for _, line := range lines {
 		isFolded := strings.HasPrefix(line, " ") || strings.HasPrefix(line, "\t")
@@ -107,7 +107,7 @@
 	return length, nil
 }
 
-// isToken reports whether a text is a token of RFC 3261, section 25.1.
+// isToken reports whether s is a token as defined by RFC 3261, section 25.1.
 func isToken(s string) bool {
 	for i := range len(s) {
 		if !isTokenByte(s[i]) {
--- a/internal/codec/sip/reader.go
+++ b/internal/codec/sip/reader.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// ErrTooLong reports a message that is longer than Limit.
+// ErrTooLong is returned for a message that is longer than MaxMessageSize.
 var ErrTooLong = errors.New("sip: a message is longer than 16 KiB")
 
-// ErrLength reports a Content-Length after which no message begins.
+// ErrLength is returned if the data after a body cannot be the start of a message, so that Content-Length is wrong.
 var ErrLength = errors.New("sip: no message begins after the body")
 
 var (
@@ -19,19 +19,19 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// A Reader assembles messages from the pieces in which a connection delivers them. Its zero value is ready to use.
+// A Reader reassembles messages from the chunks that a connection delivers. The zero value is ready to use.
 type Reader struct {
-	buffer     []byte // bytes that no message has consumed
-	scanned    int    // length of the prefix of buffer that contains no end of a head
-	head       *Message
-	bodyLength int // Content-Length of head
+	buffer     []byte   // received bytes that have not been consumed
+	scanned    int      // length of the prefix of buffer known to contain no end of a head
+	head       *Message // parsed head of a message whose body is incomplete; nil if none
+	bodyLength int      // Content-Length of head
 }
 
 // HasPartial reports whether a partial message is buffered.
 func (r *Reader) HasPartial() bool { return r.head != nil || len(r.buffer) > 0 }
 
-// Feed reads a piece and calls handle for each message that it completes, until handle returns false. The message
-// belongs to handle. After an error the reader must not be used again.
+// Feed processes a chunk and calls handle for each message that it completes, until handle returns false. handle may
+// keep the message. After an error the reader must not be used again.
 func (r *Reader) Feed(piece []byte, handle func(*Message) bool) error {
 	r.buffer = append(r.buffer, piece...)
 	// The copy releases the memory of the consumed messages.
@@ -47,7 +47,7 @@
 	}
 }
 
-// next consumes and returns the first message of the buffer, nil if it is incomplete.
+// next consumes and returns the first message in the buffer, or nil if it is incomplete.
 func (r *Reader) next() (*Message, error) {
 	if r.head == nil {
 		if err := r.readHead(); err != nil {
@@ -70,7 +70,7 @@
 // readHead consumes the first line and the header fields of a message once they are complete.
 func (r *Reader) readHead() error {
 	r.skipKeepAlives()
-	// The end may lie across the border of the scanned prefix.
+	// The end marker may start within the scanned prefix.
 	start := max(0, r.scanned-len(headEnd)+1)
 	end := bytes.Index(r.buffer[start:], headEnd)
 	if end < 0 {
@@ -106,8 +106,8 @@
 	r.scanned = 0
 }
 
-// mayBeginMessage reports whether b can be the prefix of a message. It detects a Content-Length that is too small,
-// with which a message would be delivered with a truncated body.
+// mayBeginMessage reports whether b can be the prefix of a message. This check detects a Content-Length that is too
+// small, which would otherwise lead to a message with a truncated body.
 func mayBeginMessage(b []byte) bool {
 	b = bytes.TrimLeft(b, "\r\n")
 	methodLength := 0
--- a/internal/codec/sip/reader_test.go
+++ b/internal/codec/sip/reader_test.go
@@ -10,14 +10,14 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the largest size, in bytes, of the pieces in which tests feed a reader.
+// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a reader.
 const maxPieceSize = 60
 
-// compactBye has compact header names, a folded line and two Reason header fields.
+// compactBye is a BYE with compact header names, a folded line and two Reason header fields.
 const compactBye = "BYE sip:7f3a@net SIP/2.0\r\ni: x\r\nCSeq:  3 BYE\r\n" +
 	"Reason: SIP;cause=200\r\nReason: Q.850\r\n ;cause=41\r\nl: 0\r\n\r\n"
 
-// sampleStream returns an INVITE, a keep-alive, a response and a BYE.
+// sampleStream returns a stream of an INVITE, a keep-alive, a response and a BYE.
 func sampleStream() []byte {
 	b := AppendRequest(nil, &Request{Method: "INVITE", Number: "7f3a", CallID: "9b1f03aa5c7e2d41", CSeq: 1,
 		Headers: []Header{{"X-Cos", "voice"}}, Body: []byte("v=0\r\n\r\n\x00\xff")})
@@ -30,7 +30,7 @@
 	return append(b, compactBye...)
 }
 
-// readAll feeds pieces to a reader and returns the messages it delivers.
+// readAll passes chunks to a new reader and returns the messages that it delivers.
 func readAll(pieces ...[]byte) ([]*Message, error) {
 	var r Reader
 	return testutil.FeedAll(r.Feed, pieces...)
@@ -64,20 +64,20 @@
 		head + "Call-ID: x\r\nCSeq: 1 BYE\r\nContent-Length: -1\r\n\r\n", head + "no colon\r\n\r\n",
 	} {
 		if got, err := readAll([]byte(bad)); err == nil {
-			t.Errorf("%q is invalid, but was read as %+v", bad, got)
+			t.Errorf("invalid message %q was parsed as %+v", bad, got)
 		}
 	}
 	tooShort := "SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 4\r\n\r\nv=0\r\nc=IN IP4 10.1.1.1\r\n"
-	for _, length := range []int{0, 4, 11, 13, 16} { // each is less than the length of the body
+	for _, length := range []int{0, 4, 11, 13, 16} { // each is shorter than the actual body
 		text := strings.Replace(tooShort, ": 4", fmt.Sprint(": ", length), 1)
 		if got, err := readAll([]byte(text)); !errors.Is(err, ErrLength) || len(got) > 0 {
-			t.Errorf("%d bytes of the body were delivered: %v", length, err)
+			t.Errorf("Content-Length %d: got error %v, want ErrLength and no message", length, err)
 		}
 	}
 	tooLong := head + "Call-ID: x\r\nCSeq: 1 BYE\r\nContent-Length: 16384\r\n\r\n"
 	for _, text := range []string{tooLong, strings.Repeat("x", MaxMessageSize)} {
 		if _, err := readAll([]byte(text)); !errors.Is(err, ErrTooLong) {
-			t.Errorf("%.30q: %v", text, err)
+			t.Errorf("%.30q: got error %v, want ErrTooLong", text, err)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	for text, want := range tests {
 		if IsSafeValue(text) != want {
-			t.Errorf("%q", text)
+			t.Errorf("IsSafeValue(%q) is wrong", text)
 		}
 	}
 }
@@ -100,10 +100,11 @@
 		messages, err := readAll(text)
 		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxPieceSize)...)
 		if errors.Is(err, ErrLength) {
-			return // in pieces, a message is delivered before the text after it arrives
+			return // in several chunks, a message may be delivered before the data after it is checked
 		}
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(messages, split) {
-			t.Errorf("in one piece %d messages and %v, in several %d and %v", len(messages), err, len(split), splitErr)
+			t.Errorf("in one chunk: %d messages, error %v; in several: %d messages, error %v",
+				len(messages), err, len(split), splitErr)
 		}
 	})
 }
--- a/internal/codec/sip/writer.go
+++ b/internal/codec/sip/writer.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Host and Via of the requests that the controller sends.
+// Host part of the Request-URI and Via header of the requests that the controller sends.
 const (
 	requestHost = "@net"
 	viaHeader   = "Via: " + protocolVersion + "/TCP olivedale\r\n"
@@ -14,10 +14,10 @@
 // A Request is the content of a request that the controller sends.
 type Request struct {
 	Method  string
-	Number  string // the called number, which is the user part of the Request-URI
+	Number  string // called number, which becomes the user part of the Request-URI
 	CallID  string
 	CSeq    int
-	Headers []Header // besides Via, Call-ID, CSeq and Content-Length
+	Headers []Header // in addition to Via, Call-ID, CSeq and Content-Length
 	Body    []byte
 }
 
@@ -74,8 +74,8 @@
 	return append(b, body...)
 }
 
-// IsSafeValue reports whether a text may be used as a header value or as a called number. It prevents callers from
-// inserting header lines or addresses into a message.
+// IsSafeValue reports whether s may be used as a header value or as a called number. It prevents callers from injecting
+// header lines or addresses into a message.
 func IsSafeValue(s string) bool {
 	for i := range len(s) {
 		c := s[i]
