--- a/internal/codec/h248/errors.go
+++ b/internal/codec/h248/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Error codes of error descriptors, with their names in H.248.8.
+// Error codes of error descriptors, with their descriptions from H.248.8.
 const (
 	SyntaxInMessage       = 400 // Syntax error in message
 	ProtocolError         = 401 // Protocol error
@@ -31,10 +31,10 @@
 	TemporaryFailure      = 530 // Temporary network failure
 )
 
-// ErrTooLong reports a message that is longer than MaxMessageSize.
+// ErrTooLong is returned for a message that is longer than MaxMessageSize.
 var ErrTooLong = errors.New("h248: a message is longer than 16 KiB")
 
-// An Error is an error descriptor. Parse returns one that may be sent to the peer.
+// An Error is an error descriptor. Errors returned by Parse may be sent to the peer.
 type Error struct {
 	Code int
 	Text string
--- a/internal/codec/h248/golden_test.go
+++ b/internal/codec/h248/golden_test.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// errorCodes are all codes in their order.
+// errorCodes lists all error codes in ascending order.
 var errorCodes = []int{
 	SyntaxInMessage, ProtocolError, SyntaxInTransaction, VersionNotSupported, UnknownContext, UnknownAction,
 	SyntaxInAction, UnknownTermination, NoTerminationMatched, NoTermination, TerminationInContext, MissingRemote,
@@ -16,7 +16,7 @@
 	ServiceUnavailable, InsufficientResources, TemporaryFailure,
 }
 
-// goldenMessages returns frames of every kind of transaction and every command.
+// goldenMessages returns frames that cover every kind of transaction and every command.
 func goldenMessages(t *testing.T) []goldentest.Message {
 	messages := goldenRequests(t)
 	messages = append(messages, goldenReplies(t)...)
@@ -32,7 +32,7 @@
 	return messages
 }
 
-// encode returns the frame of a message.
+// encode returns the encoded frame of a message.
 func encode(t *testing.T, name string, m *Message) goldentest.Message {
 	t.Helper()
 	m.MID = "[127.0.0.2]:2944"
@@ -126,7 +126,7 @@
 	}
 }
 
-// dumpMessage writes a message with fixed labels.
+// dumpMessage writes all fields of a message with fixed labels.
 func dumpMessage(b *strings.Builder, m *Message) {
 	_, _ = fmt.Fprintf(b, "from %q\n", m.MID)
 	dumpError(b, "", m.Err)
@@ -145,13 +145,13 @@
 	}
 }
 
-// TestGoldenMessages compares written messages with the committed bytes, and the parsed bytes with the committed dump.
+// TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
 	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages(t)) {
 		texts, err := readFrames(m.Bytes)
 		if err != nil || len(texts) != 1 {
-			t.Errorf("%s: %d messages, %v", m.Name, len(texts), err)
+			t.Errorf("%s: got %d messages, error %v", m.Name, len(texts), err)
 			continue
 		}
 		_, _ = fmt.Fprintf(&dump, "== %s\n", m.Name)
--- a/internal/codec/h248/message.go
+++ b/internal/codec/h248/message.go
@@ -1,8 +1,8 @@
-// Package h248 is the codec of H.248.1 messages in the text form (RFC 3525, Annex B) and of their framing on TCP
-// (TPKT, Annex D).
+// Package h248 implements the codec of H.248.1 messages in the text encoding (RFC 3525, Annex B) and their framing on
+// TCP (TPKT, Annex D).
 //
-// It owns the message types, the parser, the writer and the framer. It knows no calls, keeps no transactions and never
-// opens a connection.
+// It contains the message types, the parser, the writer and the framer. It keeps no calls or transactions and opens no
+// connections.
 package h248
 
 import (
@@ -11,9 +11,9 @@
 	"strings"
 )
 
-// A Message is an error descriptor or a list of transactions.
+// A Message holds an error descriptor or a list of transactions.
 type Message struct {
-	MID          string // the message identifier, which names the sender, as it is written
+	MID          string // message identifier, which names the sender, as written in the message
 	Err          *Error
 	Transactions []*Transaction
 }
@@ -44,39 +44,39 @@
 	return transactionTokens[k]
 }
 
-// A Transaction is a request, a reply, a pending or an acknowledgement of replies.
+// A Transaction is a request, a reply, a pending response or an acknowledgement of replies.
 type Transaction struct {
 	Kind    TransactionKind
 	ID      uint32
-	Err     *Error // of a reply in place of its actions
+	Err     *Error // error that a reply has instead of actions
 	Actions []*Action
-	Acked   [][2]uint32 // of an acknowledgement: the first and last transaction id of each range
+	Acked   [][2]uint32 // first and last transaction id of each acknowledged range
 }
 
-// An Action is a list of commands in one context.
+// An Action holds the commands for one context.
 type Action struct {
 	Context  string // a number, "$" (choose), "*" (all) or "-" (null)
-	Err      *Error // the reason why the commands after those in Commands were not executed
+	Err      *Error // why the commands after those in Commands were not executed; nil if all were
 	Commands []*Command
 }
 
-// A Command is a command or its reply.
+// A Command is a command or the reply to one.
 type Command struct {
-	Name        string // in the long form, one of the Command constants
+	Name        string // long form, one of the Command constants
 	Termination string
 	Err         *Error
 	Descriptors []*Node
 }
 
-// A Node is a descriptor, a parameter of one, or a bare value in a list.
+// A Node is a descriptor, a parameter of a descriptor, or a bare value in a list.
 type Node struct {
 	Name, Value string
-	Quoted      bool    // the value is a quoted string
-	Octets      []byte  // the session description of a Local or Remote descriptor; nil elsewhere
-	Children    []*Node // the parameters
+	Quoted      bool    // whether the value is a quoted string
+	Octets      []byte  // session description of a Local or Remote descriptor; nil in other nodes
+	Children    []*Node // parameters
 }
 
-// Find returns the first node with that path of names, nil if there is none. Names are not case-sensitive.
+// Find returns the first node at the given path of names, or nil if there is none. Names are not case-sensitive.
 func Find(nodes []*Node, path ...string) *Node {
 	for _, n := range nodes {
 		if !strings.EqualFold(n.Name, path[0]) {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Value returns the value of the first node with that path of names, "" if there is none.
+// Value returns the value of the first node at the given path of names, or "" if there is none.
 func Value(nodes []*Node, path ...string) string {
 	if n := Find(nodes, path...); n != nil {
 		return n.Value
@@ -100,13 +100,13 @@
 	return ""
 }
 
-// IsEncodable reports whether the text form can represent a session description. It can represent neither a NUL
-// character nor a backslash directly before the closing brace.
+// IsEncodable reports whether a session description can be represented in the text encoding. The encoding cannot
+// represent a NUL character or a backslash directly before the closing brace.
 func IsEncodable(description []byte) bool {
 	return bytes.IndexByte(description, 0) < 0 && !bytes.HasSuffix(description, []byte{'\\'})
 }
 
-// IsUnquotedValue reports whether a text can be a value without quotes.
+// IsUnquotedValue reports whether s can be written as a value without quotes.
 func IsUnquotedValue(s string) bool {
 	p := parser{text: []byte(s)}
 	return s != "" && p.word() == s
--- a/internal/codec/h248/parser.go
+++ b/internal/codec/h248/parser.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bounds of H.248.1.
+// Limits defined by H.248.1.
 const (
 	minVersion       = 1
 	maxVersion       = 3
@@ -14,8 +14,8 @@
 	maxTerminationID = 255 // length in bytes
 )
 
-// Parse parses a complete message. If it returns an error, no command of the message may be executed; the message is
-// then nil, or it identifies the sender.
+// Parse parses a complete message. If it returns an error, no command of the message may be executed. The returned
+// message is then nil or incomplete, and only its MID is valid.
 func Parse(text []byte) (*Message, *Error) {
 	p := &parser{text: text}
 	return p.message()
@@ -60,7 +60,7 @@
 	return version, nil
 }
 
-// mid reads a message identifier: '[address]:port', '<name>:port' or the name of a device. It returns "" if there is no
+// mid reads a message identifier: '[address]:port', '<domain name>:port' or a device name. It returns "" if there is no
 // valid one.
 func (p *parser) mid() string {
 	isDomainName := p.peek() == '<'
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// errorDescriptor reads an error descriptor, whose token is consumed.
+// errorDescriptor reads the rest of an error descriptor after its token.
 func (p *parser) errorDescriptor(code int) (descriptor, parseErr *Error) {
 	n, err := p.number(code)
 	if err != nil {
@@ -148,7 +148,7 @@
 	})
 }
 
-// transactionElement reads one action. A reply may contain an error descriptor or ImmAckRequired as well.
+// transactionElement reads one action. In a reply it may be an error descriptor or ImmAckRequired instead.
 func (p *parser) transactionElement(t *Transaction) (err *Error) {
 	token := p.word()
 	isReply := t.Kind == Reply
@@ -207,7 +207,7 @@
 	return p.list(SyntaxInCommand, func() *Error { return p.commandElement(c) })
 }
 
-// commandElement reads one descriptor, which may be the error descriptor of the command.
+// commandElement reads one descriptor. An error descriptor becomes the error of the command.
 func (p *parser) commandElement(c *Command) *Error {
 	n, err := p.node()
 	if err != nil {
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// node reads a descriptor or a part of one, which may be a bare quoted string.
+// node reads a descriptor or a parameter of one, which may be a bare quoted string.
 func (p *parser) node() (n *Node, err *Error) {
 	n = &Node{}
 	if p.peek() == '"' {
@@ -270,7 +270,7 @@
 	return nil
 }
 
-// child reads one part of a node.
+// child reads one parameter of a node.
 func (p *parser) child(n *Node) *Error {
 	child, err := p.node()
 	if err == nil {
--- a/internal/codec/h248/parser_test.go
+++ b/internal/codec/h248/parser_test.go
@@ -9,10 +9,10 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the largest size, in bytes, of the pieces in which tests feed a reader.
+// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a framer.
 const maxPieceSize = 50
 
-// longForm has a message of four transactions with long tokens, white space and a comment.
+// longForm is a message of four transactions with long tokens, white space and a comment.
 const longForm = `MEGACO/1 [10.0.0.4]:2944 ; a panel
 Transaction = 9998 {
   Context = $ { Add = panel/12 { Media { TerminationState { oc/class = resident-call, oc/number = "7f3a" },
@@ -22,10 +22,10 @@
 Reply=3{Context=7{Subtract=panel/12}, Context=8{Error=411{"no such"}}} Pending=4{} TransactionResponseAck{1-3,9}
 `
 
-// shortForm has a message of one transaction with short tokens.
+// shortForm is a message of one transaction with short tokens.
 const shortForm = `!/1 <gw> T=1{C=5{N=p/1{OE=1{oc/rel{cause=16}}},O-S=p/2}}`
 
-// mustParse parses a valid message.
+// mustParse parses a message and fails the test if it is invalid.
 func mustParse(t testing.TB, text string) *Message {
 	t.Helper()
 	m, err := Parse([]byte(text))
@@ -71,22 +71,22 @@
 		"!/1 <a> T=1{C=1{A=p{M{L{\x00}}}}}":               442,
 	} {
 		if _, err := Parse([]byte(text)); err == nil || err.Code != code {
-			t.Errorf("%.40q: %v, want %d", text, err, code)
+			t.Errorf("%.40q: got error %v, want code %d", text, err, code)
 		}
 	}
 }
 
-// TestTruncatedMessages checks that a truncated message is an error at every length, never a shorter message.
+// A truncated message must be rejected at every length, and never be parsed as a shorter message.
 func TestTruncatedMessages(t *testing.T) {
 	text := strings.TrimRight(strings.Split(longForm, "\nReply")[0], "\n")
 	for length := range text {
 		if m, err := Parse([]byte(text[:length])); err == nil {
-			t.Fatalf("truncated to %d bytes, it was parsed as %+v", length, m)
+			t.Fatalf("the message truncated to %d bytes was parsed as %+v", length, m)
 		}
 	}
 }
 
-// encodeFrames returns the frames of messages, one after the other.
+// encodeFrames returns the concatenated frames of messages.
 func encodeFrames(t testing.TB, texts ...string) (b []byte) {
 	t.Helper()
 	for _, text := range texts {
@@ -98,7 +98,7 @@
 	return b
 }
 
-// readFrames feeds pieces to a framer and returns the messages it delivers.
+// readFrames passes chunks to a new framer and returns the messages that it delivers.
 func readFrames(pieces ...[]byte) (texts []string, err error) {
 	var f Framer
 	for _, piece := range pieces {
@@ -126,13 +126,13 @@
 func TestInvalidFrames(t *testing.T) {
 	for _, bad := range [][]byte{{3, 0, 0, 4}, {3, 0, 0xff, 0xff}, {4}, {3, 1}, []byte("MEGACO")} {
 		if got, err := readFrames(bad); err == nil {
-			t.Errorf("% x is invalid, but was read as %q", bad, got)
+			t.Errorf("invalid frame % x was read as %q", bad, got)
 		}
 	}
 	m := mustParse(t, shortForm)
 	m.Transactions[0].Actions[0].Commands[0].Descriptors = []*Node{{Name: "Local", Octets: make([]byte, MaxMessageSize)}}
 	if _, err := AppendFrame(nil, m); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a long message: %v", err)
+		t.Errorf("a message over the maximum size: got error %v, want ErrTooLong", err)
 	}
 }
 
@@ -144,13 +144,13 @@
 			b := m.appendText(nil)
 			reparsed, err := Parse(b)
 			if err != nil || reparsed.MID != m.MID || len(reparsed.Transactions) != len(m.Transactions) {
-				t.Errorf("%q was written as %q: %v", text, b, err)
+				t.Errorf("%q was written as %q, which was parsed with error %v", text, b, err)
 			}
 		}
 		texts, err := readFrames(text)
 		split, splitErr := readFrames(testutil.SplitRandomly(seed, text, maxPieceSize)...)
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(texts, split) {
-			t.Errorf("in one piece %q and %v, in several %q and %v", texts, err, split, splitErr)
+			t.Errorf("in one chunk: %q, error %v; in several: %q, error %v", texts, err, split, splitErr)
 		}
 	})
 }
--- a/internal/codec/h248/scanner.go
+++ b/internal/codec/h248/scanner.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// maxDepth bounds the nesting of lists. It limits the use of the stack.
+// maxDepth is the maximum nesting depth of lists. It limits the use of the stack.
 const maxDepth = 16
 
-// A parser reads one message from its start to its end. Its methods in this file read tokens, those in parser.go
-// elements of messages. They take the error code to report as a parameter where it depends on the element.
+// A parser reads one message from start to end. The methods in this file read tokens; those in parser.go read message
+// elements. Where the error code to report depends on the enclosing element, it is passed as a parameter.
 type parser struct {
 	text  []byte
 	pos   int
-	depth int // of the list that is being read
+	depth int // nesting depth of the current list
 }
 
-// fail returns an error that names the current position. The error may be sent to the peer.
+// fail returns an error that includes the current position. It may be sent to the peer.
 func (p *parser) fail(code int, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...) + " at byte " + strconv.Itoa(p.pos)}
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// peek skips white space and returns the byte that follows, 0 at the end of the text.
+// peek skips white space and comments and returns the next byte without consuming it, or 0 at the end of the text.
 func (p *parser) peek() byte {
 	p.skipSpace()
 	if p.pos < len(p.text) {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// word skips white space and reads a name or a value without quotes, which may be empty.
+// word skips white space and reads a name or an unquoted value. It returns "" if there is none.
 func (p *parser) word() string {
 	p.skipSpace()
 	start := p.pos
@@ -77,7 +77,7 @@
 	return isVisibleASCII && strings.IndexByte(`{}=,;"<>#`, c) < 0
 }
 
-// number reads '=' and a number of 32 bits.
+// number reads '=' and a 32-bit number.
 func (p *parser) number(code int) (uint32, *Error) {
 	if !p.accept('=') {
 		return 0, p.fail(code, "no number")
@@ -95,7 +95,7 @@
 	return uint32(v), err
 }
 
-// quoted reads a quoted string, which contains neither quotes nor line ends.
+// quoted reads a quoted string. It must not contain quotes, line breaks or NUL characters.
 func (p *parser) quoted(code int) (string, *Error) {
 	if !p.accept('"') {
 		return "", p.fail(code, "want a quoted text")
@@ -139,7 +139,7 @@
 	}
 }
 
-// octets reads '{' and the octets up to the next '}', which is escaped as '\}' within them.
+// octets reads '{' and the octets up to the closing '}'. A '}' within the octets is escaped as '\}'.
 func (p *parser) octets(name string) ([]byte, *Error) {
 	p.pos++
 	octets := []byte{}
--- a/internal/codec/h248/tokens.go
+++ b/internal/codec/h248/tokens.go
@@ -14,7 +14,7 @@
 	CommandServiceChange   = "ServiceChange"
 )
 
-// Names of descriptors and of their parts.
+// Names of descriptors.
 const (
 	DescriptorMedia            = "Media"
 	DescriptorTerminationState = "TerminationState"
@@ -25,7 +25,7 @@
 	DescriptorError            = "Error"
 )
 
-// commandNames maps the long and short tokens of commands, in lower case, to their names.
+// commandNames maps the lower-case long and short tokens of commands to their names.
 var commandNames = map[string]string{
 	"add": CommandAdd, "a": CommandAdd,
 	"move": CommandMove, "mv": CommandMove,
@@ -37,7 +37,7 @@
 	"servicechange": CommandServiceChange, "sc": CommandServiceChange,
 }
 
-// transactionKinds maps the long and short tokens of transactions, in lower case, to their kinds.
+// transactionKinds maps the lower-case long and short tokens of transactions to their kinds.
 var transactionKinds = map[string]TransactionKind{
 	"transaction": Request, "t": Request,
 	"reply": Reply, "p": Reply,
@@ -45,7 +45,7 @@
 	"transactionresponseack": Ack, "k": Ack,
 }
 
-// longNames maps the short tokens of descriptors and their parts, in lower case, to their names.
+// longNames maps the lower-case short tokens of descriptors and parameters to their long names.
 var longNames = map[string]string{
 	"at": "Audit",
 	"c":  "Context",
@@ -65,7 +65,7 @@
 	"ts": DescriptorTerminationState,
 }
 
-// longName returns the name that a short token stands for. It returns other tokens as they are.
+// longName returns the long name for a short token. It returns other tokens unchanged.
 func longName(token string) string {
 	if name, ok := longNames[strings.ToLower(token)]; ok {
 		return name
@@ -73,8 +73,8 @@
 	return token
 }
 
-// commandName returns the name of a command. A request may prefix its token by "O-" (optional) and "W-" (wildcarded
-// response).
+// commandName returns the name of the command for a token. In requests, tokens may have the prefixes "O-" (optional)
+// and "W-" (wildcarded response).
 func commandName(token string) (name string, ok bool) {
 	token = strings.ToLower(token)
 	token = strings.TrimPrefix(token, "o-")
@@ -83,7 +83,7 @@
 	return name, ok
 }
 
-// isToken reports whether a word is the long or the short form of a token.
+// isToken reports whether word is the long or the short form of a token.
 func isToken(word, long, short string) bool {
 	return strings.EqualFold(word, long) || strings.EqualFold(word, short)
 }
--- a/internal/codec/h248/tpkt.go
+++ b/internal/codec/h248/tpkt.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// MaxMessageSize is the largest size of a message in bytes, the header of its TPKT frame included.
+// MaxMessageSize is the maximum size of a message in bytes, including its TPKT header.
 const MaxMessageSize = 16 << 10
 
-// The header of a TPKT frame (RFC 1006, section 6) is a version, a reserved byte and the length of the frame in two
-// bytes, the header included.
+// A TPKT header (RFC 1006, section 6) consists of a version byte, a reserved byte and a two-byte length of the frame,
+// which includes the header.
 const (
 	frameHeaderSize   = 4
 	frameVersion      = 3
@@ -18,16 +18,16 @@
 	frameLengthOffset = 2
 )
 
-// A Framer extracts messages from a stream of TPKT frames. Its zero value is ready to use.
+// A Framer extracts messages from a stream of TPKT frames. The zero value is ready to use.
 type Framer struct {
-	buffer []byte // bytes that no message has consumed
+	buffer []byte // received bytes that have not been consumed
 }
 
 // HasPartial reports whether a partial frame is buffered.
 func (f *Framer) HasPartial() bool { return len(f.buffer) > 0 }
 
-// Feed reads a piece and calls handle with the text of each message that it completes, until handle returns false. The
-// text is valid during the call only. After an error the framer must not be used again.
+// Feed processes a chunk and calls handle with the text of each message that it completes, until handle returns false.
+// The text is valid only during the call. After an error the framer must not be used again.
 func (f *Framer) Feed(piece []byte, handle func(text []byte) bool) error {
 	f.buffer = append(f.buffer, piece...)
 	// The copy releases the memory of the consumed messages.
@@ -43,7 +43,7 @@
 	}
 }
 
-// next consumes the first frame of the buffer and returns its message, nil if it is incomplete.
+// next consumes the first frame in the buffer and returns its message, or nil if the frame is incomplete.
 func (f *Framer) next() ([]byte, error) {
 	if !mayBeginFrame(f.buffer) {
 		return nil, fmt.Errorf("h248: invalid TPKT header: % x", f.buffer[:min(len(f.buffer), frameHeaderSize)])
@@ -65,8 +65,8 @@
 	return text, nil
 }
 
-// mayBeginFrame reports whether b can be the prefix of a frame. It checks an incomplete header too, so that a stream
-// without frames fails at once instead of waiting for more bytes.
+// mayBeginFrame reports whether b can be the prefix of a frame. It also checks incomplete headers, so that a stream
+// that is not framed is rejected immediately instead of after more bytes.
 func mayBeginFrame(b []byte) bool {
 	if len(b) > 0 && b[0] != frameVersion {
 		return false
@@ -74,7 +74,7 @@
 	return len(b) < 2 || b[1] == frameReserved
 }
 
-// AppendFrame appends a message in its frame to b.
+// AppendFrame appends the frame with a message to b.
 func AppendFrame(b []byte, m *Message) ([]byte, error) {
 	start := len(b)
 	b = append(b, frameVersion, frameReserved, 0, 0)
--- a/internal/codec/h248/transaction/event.go
+++ b/internal/codec/h248/transaction/event.go
@@ -6,11 +6,11 @@
 	"olivedale/internal/codec/h248"
 )
 
-// releaseEvent is the event that notifies of a call's end. The package 'oc' is the project's own;
+// releaseEvent is the event that reports the release of a call. The H.248 package 'oc' is specific to this project;
 // docs/architecture.md lists its contents.
 const releaseEvent = "oc/rel"
 
-// ReleaseEvent returns the descriptor that notifies of a release by a cause of Q.850.
+// ReleaseEvent returns the descriptor that reports a release with a Q.850 cause.
 func ReleaseEvent(cause int) *h248.Node {
 	event := &h248.Node{
 		Name:     releaseEvent,
@@ -19,7 +19,8 @@
 	return &h248.Node{Name: "ObservedEvents", Value: "1", Children: []*h248.Node{event}}
 }
 
-// ParseReleaseEvent reads the cause of a release; ok is false if the command notifies of another event.
+// ParseReleaseEvent returns the cause of the release that a Notify reports. ok is false if it reports no release or the
+// cause is not a number.
 func ParseReleaseEvent(c *h248.Command) (cause int, ok bool) {
 	if h248.Find(c.Descriptors, "ObservedEvents", releaseEvent) == nil {
 		return 0, false
@@ -28,7 +29,8 @@
 	return cause, err == nil
 }
 
-// Description returns the octets of the descriptor Local or Remote, also from within a Stream.
+// Description returns the session description in a command's Local or Remote descriptor, whichever name says. The
+// descriptor may be inside a Stream descriptor.
 func Description(c *h248.Command, name string) ([]byte, bool) {
 	for _, path := range [][]string{{"Media", name}, {"Media", "Stream", name}} {
 		n := h248.Find(c.Descriptors, path...)
--- a/internal/codec/h248/transaction/event_test.go
+++ b/internal/codec/h248/transaction/event_test.go
@@ -9,7 +9,7 @@
 func TestReleaseEvent(t *testing.T) {
 	notify := &h248.Command{Name: "Notify", Descriptors: []*h248.Node{ReleaseEvent(41)}}
 	if cause, ok := ParseReleaseEvent(notify); cause != 41 || !ok {
-		t.Errorf("cause %d, %v, want 41", cause, ok)
+		t.Errorf("got cause %d, %v, want 41, true", cause, ok)
 	}
 	for name, descriptors := range map[string][]*h248.Node{
 		"none":           nil,
@@ -19,7 +19,7 @@
 		"another branch": {{Name: "Signals", Children: []*h248.Node{{Name: releaseEvent}}}},
 	} {
 		if cause, ok := ParseReleaseEvent(&h248.Command{Name: "Notify", Descriptors: descriptors}); ok {
-			t.Errorf("%s: cause %d was read", name, cause)
+			t.Errorf("%s: got cause %d, want none", name, cause)
 		}
 	}
 }
--- a/internal/codec/h248/transaction/store.go
+++ b/internal/codec/h248/transaction/store.go
@@ -1,5 +1,6 @@
-// Package transaction holds what both sides of H.248 in this program share: the store that makes transactions
-// at-most-once, the framing of single transactions, and the events and descriptors of the project's own package 'oc'.
+// Package transaction contains the code shared by the H.248 frontend and backend: a store that ensures at-most-once
+// execution of transactions, the framing of single transactions, and the release event of the project's H.248 package
+// 'oc'.
 package transaction
 
 import (
@@ -9,50 +10,51 @@
 	"olivedale/internal/codec/h248"
 )
 
-// LongTimer is how long a reply is kept for repeats of its transaction (LONG-TIMER of RFC 3525, Annex D.1.5).
+// LongTimer is how long a reply is kept for repeats of its transaction (LONG-TIMER in RFC 3525, Annex D.1.5).
 const LongTimer = 30 * time.Second
 
 const (
 	expiryInterval     = time.Second
-	replyBytesPerEntry = 1 << 9 // the bound on the bytes of all replies, for each entry that the store may hold
-	maxAckRange        = 16     // wider acknowledged ranges are left to LongTimer
+	replyBytesPerEntry = 1 << 9 // limit on the total size of all replies, per entry of the maximum number of entries
+	maxAckRange        = 16     // replies in wider acknowledged ranges expire after LongTimer
 )
 
-// A Store makes transactions at-most-once: it keeps each one's reply, whatever connection the transaction came on.
+// A Store ensures that transactions are executed at most once. It keeps the reply to each transaction independently of
+// the connection on which the transaction was received.
 type Store struct {
 	entries    map[string]*Entry
-	expiredAt  time.Duration // when old entries were last dropped
-	maxEntries int           // past that, or past the bound on bytes, new transactions are not taken
+	expiredAt  time.Duration // when expired entries were last dropped
+	maxEntries int           // new transactions are refused beyond this number, or beyond the limit on replyBytes
 	replyBytes int
 }
 
-// An Entry is a transaction that was received.
+// An Entry is a received transaction.
 type Entry struct {
-	reply []byte // nil while the transaction runs
-	at    time.Duration
+	reply []byte        // nil while the transaction is running
+	at    time.Duration // when the transaction was received or, once it has completed, when that was
 }
 
-// Reply returns the framed reply; nil while the transaction runs.
+// Reply returns the framed reply, or nil while the transaction is running.
 func (e *Entry) Reply() []byte { return e.reply }
 
-// NewStore returns a store of at most maxEntries transactions.
+// NewStore returns a store for at most maxEntries transactions.
 func NewStore(maxEntries int) *Store {
 	return &Store{entries: make(map[string]*Entry), maxEntries: maxEntries}
 }
 
-// Len returns the number of transactions that are remembered.
+// Len returns the number of stored transactions.
 func (s *Store) Len() int { return len(s.entries) }
 
-// ReplyBytes returns the size of all replies that are kept.
+// ReplyBytes returns the total size of the stored replies.
 func (s *Store) ReplyBytes() int { return s.replyBytes }
 
-// key names a transaction by the message id of its sender and its own id.
+// key returns the map key of a transaction, made of the message id of its sender and the transaction id.
 func key(messageID string, id uint32) string {
 	return strconv.FormatUint(uint64(id), 10) + " " + messageID
 }
 
-// Begin returns the entry of a transaction and whether it is new. The entry is nil if too many are remembered: what
-// could not be remembered might run twice.
+// Begin returns the entry of a transaction and whether it is new. The entry is nil if the store is full. The
+// transaction must not be executed then, because a repeat would be executed again.
 func (s *Store) Begin(messageID string, id uint32, now time.Duration) (e *Entry, isNew bool) {
 	s.expire(now)
 	k := key(messageID, id)
@@ -67,7 +69,7 @@
 	return e, true
 }
 
-// expire drops replies older than LongTimer, at most once in expiryInterval.
+// expire drops replies older than LongTimer. It scans the store at most once per expiryInterval.
 func (s *Store) expire(now time.Duration) {
 	if now-s.expiredAt <= expiryInterval {
 		return
@@ -80,7 +82,7 @@
 	}
 }
 
-// Complete keeps the framed reply to a transaction.
+// Complete stores the framed reply to a transaction.
 func (s *Store) Complete(e *Entry, reply []byte, now time.Duration) {
 	s.replyBytes += len(reply)
 	e.reply = reply
@@ -92,8 +94,9 @@
 	delete(s.entries, k)
 }
 
-// Acknowledge drops the replies that the other side acknowledges, by ranges of transaction ids. One acknowledgement
-// can name any range, so only narrow ones are gone through; wider ones end by LongTimer.
+// Acknowledge drops the replies that the peer acknowledges, given as ranges of transaction ids. An acknowledgement can
+// contain ranges of any width, so only ranges of up to maxAckRange ids are processed; replies in wider ranges expire
+// after LongTimer.
 func (s *Store) Acknowledge(messageID string, ranges [][2]uint32) {
 	for _, r := range ranges {
 		if r[1]-r[0] >= maxAckRange {
@@ -108,7 +111,8 @@
 	}
 }
 
-// Frame returns the message of one transaction as it is sent. One that is too long becomes an error reply.
+// Frame returns the framed message with a single transaction. A transaction that is too long is replaced by an error
+// reply.
 func Frame(messageID string, t *h248.Transaction) []byte {
 	b, err := h248.AppendFrame(nil, &h248.Message{MID: messageID, Transactions: []*h248.Transaction{t}})
 	if err != nil {
@@ -122,8 +126,8 @@
 	return b
 }
 
-// errorReplyTooLong is H.248's error code for a response that exceeds the maximum size of a message.
+// errorReplyTooLong is the H.248 error code for a response that exceeds the maximum message size.
 const errorReplyTooLong = 533
 
-// MessageID returns the message identifier by which a controller of a name goes.
+// MessageID returns the H.248 message identifier of the controller with the given name.
 func MessageID(name string) string { return "<" + name + ">" }
--- a/internal/codec/h248/transaction/store_test.go
+++ b/internal/codec/h248/transaction/store_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every transaction is remembered, so past the limits none is taken, until replies are acknowledged or forgotten.
+// The store refuses new transactions beyond its limits on entries and reply bytes, and acknowledged replies free the
+// space again.
 func TestStoreIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1, 2000} {
@@ -15,11 +16,11 @@
 			}
 		}
 		if want := min(10, 10*replyBytesPerEntry/size+1); taken != want {
-			t.Errorf("%d replies of %d bytes, want %d", taken, size, want)
+			t.Errorf("%d replies of %d bytes were stored, want %d", taken, size, want)
 		}
 		s.Acknowledge("<p>", [][2]uint32{{0, 9}})
 		if s.Len() != 0 || s.ReplyBytes() != 0 {
-			t.Errorf("left: %d entries, %d bytes", s.Len(), s.ReplyBytes())
+			t.Errorf("after the acknowledgement %d entries and %d bytes are left, want none", s.Len(), s.ReplyBytes())
 		}
 	}
 }
--- a/internal/codec/h248/writer.go
+++ b/internal/codec/h248/writer.go
@@ -2,15 +2,15 @@
 
 import "strconv"
 
-// writtenVersion starts the messages that are written.
+// writtenVersion is the header with the protocol version of all written messages.
 const writtenVersion = "MEGACO/1 "
 
-// A textAppender appends its text form to a buffer.
+// A textAppender can append its text encoding to a buffer.
 type textAppender interface {
 	appendText(b []byte) []byte
 }
 
-// appendItems appends the items of a list, separated by commas. isFirst tells that the list has no items yet.
+// appendItems appends items to a list, separated by commas. isFirst tells that the list is still empty.
 func appendItems[T textAppender](b []byte, items []T, isFirst bool) []byte {
 	for _, item := range items {
 		if !isFirst {
@@ -62,7 +62,7 @@
 	return append(b, '}')
 }
 
-// appendAcknowledgements appends the ranges of transaction ids that an acknowledgement names.
+// appendAcknowledgements appends the acknowledged ranges of transaction ids.
 func (t *Transaction) appendAcknowledgements(b []byte) []byte {
 	b = append(b, '{')
 	for i, ids := range t.Acked {
@@ -126,8 +126,8 @@
 	return append(b, '}')
 }
 
-// appendQuoted appends a quoted string. The text form cannot represent quotes and control characters in it: they are
-// replaced by apostrophes and spaces.
+// appendQuoted appends a quoted string. Quotes and control characters cannot be represented and are replaced by
+// apostrophes and spaces.
 func appendQuoted(b []byte, s string) []byte {
 	b = append(b, '"')
 	for i := range len(s) {
@@ -143,7 +143,7 @@
 	return append(b, '"')
 }
 
-// appendOctets appends octets in braces and escapes the closing braces among them.
+// appendOctets appends octets in braces. Closing braces within the octets are escaped.
 func appendOctets(b, octets []byte) []byte {
 	b = append(b, '{')
 	for _, c := range octets {
