--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -94,11 +94,11 @@
 	}
 }
 
-// releaseUnsettledAttempts schedules releases, to be sent on the next connection, for attempts whose answer may have
+// releaseUnresolvedAttempts schedules releases, to be sent on the next connection, for attempts whose answer may have
 // been lost with this connection. Otherwise the exchange might keep calls established that no caller knows of.
-func (c *Conn) releaseUnsettledAttempts() {
+func (c *Conn) releaseUnresolvedAttempts() {
 	now := c.set.loop.Now()
-	for id, attempt := range c.protocol.unsettledAttempts() {
+	for id, attempt := range c.protocol.unresolvedAttempts() {
 		if _, isPending := c.releases.byID[id]; isPending {
 			continue
 		}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -31,7 +31,7 @@
 	pool         int
 	protocol     protocol
 	conn         *eventloop.Conn // nil while disconnected
-	input        input           // decodes the data received on conn
+	input        inputHandler    // decodes the data received on conn
 	dialing      dialState
 	isDraining   bool
 	isRemoved    bool
@@ -39,7 +39,7 @@
 	openAttempts map[string]int // attempts that were written but not answered, by call id
 	releases     pendingReleases
 	resendAt     time.Duration // when to resend releases that were not due when the connection opened; 0 if none
-	reach        reachability.Detector
+	detector     reachability.Detector
 	probes       []*Probe // probes that are being dialled or are open
 	activity     activity
 
@@ -82,7 +82,7 @@
 func (c *Conn) Connection() *eventloop.Conn { return c.conn }
 
 // RememberedCalls returns the number of calls for which the protocol keeps state.
-func (c *Conn) RememberedCalls() int { return c.protocol.rememberedCalls() }
+func (c *Conn) RememberedCalls() int { return c.protocol.trackedCalls() }
 
 // write appends to the output of the current connection. It does nothing while disconnected.
 func (c *Conn) write(write func([]byte) []byte) {
@@ -107,7 +107,7 @@
 	if conn == nil {
 		return
 	}
-	c.recordSign()
+	c.recordSignOfLife()
 	complete, err := c.input.handleData(data)
 	if err != nil {
 		c.set.reportMalformed("exchange "+c.id, err)
@@ -131,12 +131,12 @@
 	}
 	conn.MarkClosed()
 	if c.conn == conn {
-		c.Disconnect(disconnectReason(err))
+		c.Disconnect(attemptEndOfCloseError(err))
 	}
 }
 
-// disconnectReason maps the error with which gnet closed a connection to the result of its open attempts.
-func disconnectReason(err error) call.AttemptEnd {
+// attemptEndOfCloseError maps the error with which gnet closed a connection to the result of its open attempts.
+func attemptEndOfCloseError(err error) call.AttemptEnd {
 	switch {
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return call.ConnectionReset
@@ -156,7 +156,7 @@
 	c.set.loop.Close(c.conn)
 	c.conn = nil
 	c.dialing.lostConnection = true
-	c.releaseUnsettledAttempts()
+	c.releaseUnresolvedAttempts()
 	c.failOpenAttempts(reason)
 	c.Dial()
 }
@@ -183,7 +183,7 @@
 func (c *Conn) remove() {
 	c.isRemoved = true
 	c.failQueue(call.NotSent)
-	c.loseCalls(lossRemoved) // flushes the releases before the connection is closed
+	c.endAllCalls(lossRemoved) // flushes the releases before the connection is closed
 	c.closeProbes()
 	if c.conn != nil {
 		c.set.loop.Close(c.conn)
@@ -203,7 +203,7 @@
 	}
 	c.StartedAt = startTime(e)
 	if e.Started > 0 { // a restarted process has lost the earlier calls
-		c.dropCalls(lossRestarted, c.StartedAt)
+		c.endCallsBefore(lossRestarted, c.StartedAt)
 	}
 }
 
@@ -217,10 +217,10 @@
 	case admission.Removed:
 		c.Drain()
 		c.failOpenAttempts(call.BackendLost)
-		c.dropCalls(lossOutOfService, c.set.loop.Now()+1)
+		c.endCallsBefore(lossOutOfService, c.set.loop.Now()+1)
 	default:
 		c.isDraining = false
-		c.dropCalls(lossReset, c.set.loop.Now())
+		c.endCallsBefore(lossReset, c.set.loop.Now())
 	}
 }
 
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -89,17 +89,17 @@
 	if c.dialing.isDialing || c.isRemoved || c.set.isClosed || c.conn != nil || !loop.IsAttached() {
 		return
 	}
-	if c.isAddressTakenOver() { // set-ups and releases would reach a different exchange
+	if c.isAddressTakenOver() { // set-ups and releases would go to a different exchange
 		c.failQueue(call.DialRefused)
 		c.dialing.redialAt = loop.Now() + maxRedialDelay
-		loop.Defer(func() { c.dropCalls(lossAddressTaken, loop.Now()+1) })
+		loop.Defer(func() { c.endCallsBefore(lossAddressTaken, loop.Now()+1) })
 		return
 	}
 	c.dialing.isDialing = true
 	c.dialing.serial++
 	c.set.Counters.Dials++
 	now := loop.Now()
-	c.reach.RecordProbe(now)
+	c.detector.RecordProbe(now)
 	go c.dialAddress(c.address, &Dialed{conn: c, serial: c.dialing.serial, startedAt: now})
 }
 
@@ -122,21 +122,21 @@
 		return false
 	}
 	c.dialing.isDialing = false
-	c.adopt(socket)
+	c.attach(socket)
 	return true
 }
 
-// adopt makes a socket the current connection, sends the unconfirmed releases on it and flushes the queue.
-func (c *Conn) adopt(socket gnet.Conn) {
+// attach makes a socket the current connection, sends the unconfirmed releases on it and flushes the queue.
+func (c *Conn) attach(socket gnet.Conn) {
 	c.dialing.lostConnection = false
 	c.dialing.redialDelay = 0
 	now := c.set.loop.Now()
 	conn := eventloop.NewConn(socket, now)
 	c.conn = conn
-	c.input = c.protocol.newInput(func() bool { return c.conn == conn })
+	c.input = c.protocol.newInputHandler(func() bool { return c.conn == conn })
 	c.activity = activity{receivedAt: now}
 	socket.SetContext(c)
-	c.recordSign()
+	c.recordSignOfLife()
 	c.protocol.reset()
 	c.sendReleases()
 	c.flushQueue()
@@ -149,13 +149,13 @@
 	}
 	c.dialing.isDialing = false
 	c.set.Counters.DialsFailed++
-	c.failQueue(dialFailure(err))
+	c.failQueue(attemptEndOfDialError(err))
 	c.recordFailedConnection(dialed.startedAt, c.set.dialTimeout, err)
 	c.dialing.backOff(c.set.loop.Now())
 }
 
-// dialFailure maps a dial error to the result of the queued attempts.
-func dialFailure(err error) call.AttemptEnd {
+// attemptEndOfDialError maps a dial error to the result of the queued attempts.
+func attemptEndOfDialError(err error) call.AttemptEnd {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/internal/backend/h248.go
+++ b/internal/backend/h248.go
@@ -48,8 +48,8 @@
 	clear(p.requests)
 }
 
-// unsettledAttempts implements protocol. It returns the attempts whose Add or Subtract has no reply.
-func (p *h248Protocol) unsettledAttempts() map[string]int {
+// unresolvedAttempts implements protocol. It returns the attempts whose Add or Subtract has no reply.
+func (p *h248Protocol) unresolvedAttempts() map[string]int {
 	unsettled := make(map[string]int)
 	for _, r := range p.requests {
 		unsettled[r.callID] = max(unsettled[r.callID], r.attempt)
@@ -57,7 +57,7 @@
 	return unsettled
 }
 
-func (p *h248Protocol) rememberedCalls() int { return len(p.contexts) }
+func (p *h248Protocol) trackedCalls() int { return len(p.contexts) }
 
 // expire drops requests that got no reply in time, and contexts of calls that ended without a message, for example
 // because the server's process died.
@@ -149,20 +149,20 @@
 	return b
 }
 
-// An h248Input decodes the messages received on one connection.
-type h248Input struct {
+// An h248InputHandler decodes the messages received on one connection.
+type h248InputHandler struct {
 	protocol *h248Protocol
 	isOpen   func() bool
 	framer   h248.Framer
 }
 
-func (p *h248Protocol) newInput(isOpen func() bool) input {
-	return &h248Input{protocol: p, isOpen: isOpen}
+func (p *h248Protocol) newInputHandler(isOpen func() bool) inputHandler {
+	return &h248InputHandler{protocol: p, isOpen: isOpen}
 }
 
-func (in *h248Input) hasPartialMessage() bool { return in.framer.HasPartial() }
+func (in *h248InputHandler) hasPartialMessage() bool { return in.framer.HasPartial() }
 
-func (in *h248Input) handleData(data []byte) (complete bool, err error) {
+func (in *h248InputHandler) handleData(data []byte) (complete bool, err error) {
 	var parseErr *h248.Error
 	err = in.framer.Feed(data, func(text []byte) bool {
 		complete = true
--- a/internal/backend/h248_test.go
+++ b/internal/backend/h248_test.go
@@ -43,7 +43,7 @@
 	const callID = "00000000000000aa"
 	id, attempt, ok := ParseTermination(TerminationName(callID, 3))
 	if id != callID || attempt != 3 || !ok {
-		t.Errorf("got %q, %d, %v, want %q, 3, true", id, attempt, ok, callID)
+		t.Errorf("got %q, %d, %v, want the call id, 3, true", id, attempt, ok)
 	}
 	for _, name := range []string{"", "call", "call/" + callID, "call/x/0", "call/" + callID + "/x", "other/" + callID + "/0"} {
 		if _, _, ok := ParseTermination(name); ok {
--- a/internal/backend/loss.go
+++ b/internal/backend/loss.go
@@ -23,13 +23,13 @@
 // maxLoggedCalls is the maximum number of call ids in one log line.
 const maxLoggedCalls = 8
 
-// lossLogInterval is the minimum time between log lines about lost connections to one exchange.
-const lossLogInterval = time.Second
+// disconnectLogInterval is the minimum time between log lines about lost connections to one exchange.
+const disconnectLogInterval = time.Second
 
-// logDisconnect logs why the connection ended, at most once per lossLogInterval.
+// logDisconnect logs why the connection ended, at most once per disconnectLogInterval.
 func (c *Conn) logDisconnect(reason call.AttemptEnd) {
 	now := c.set.loop.Now()
-	if c.disconnectLoggedAt > 0 && now-c.disconnectLoggedAt < lossLogInterval {
+	if c.disconnectLoggedAt > 0 && now-c.disconnectLoggedAt < disconnectLogInterval {
 		return
 	}
 	c.disconnectLoggedAt = now
@@ -37,14 +37,14 @@
 		"standing", c.set.calls.EstablishedAt(c.id), "silent", now-c.activity.receivedAt)
 }
 
-// dropCalls ends the calls that were established before the given time. The process of the exchange that held them has
-// ended since.
-func (c *Conn) dropCalls(reason lossReason, before time.Duration) {
+// endCallsBefore ends the calls that were established before the given time. The process of the exchange that held them
+// has ended since.
+func (c *Conn) endCallsBefore(reason lossReason, before time.Duration) {
 	c.logLoss(reason, c.set.calls.BackendRestarted(c.id, before))
 }
 
-// loseCalls ends all calls established at the exchange and also releases them there, because it may still be running.
-func (c *Conn) loseCalls(reason lossReason) {
+// endAllCalls ends all calls established at the exchange and also releases them there, because it may still be running.
+func (c *Conn) endAllCalls(reason lossReason) {
 	c.logLoss(reason, c.set.calls.BackendLost(c.id))
 }
 
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -28,18 +28,18 @@
 	address   string
 	startedAt time.Duration
 	socket    *eventloop.Conn // nil until the probe is open
-	input     input
+	input     inputHandler
 	openedAt  time.Duration
 	isClosing bool // the sending side is closed
 }
 
 // startProbe dials a probe on a separate goroutine, unless a limit on probes is reached.
 func (c *Conn) startProbe(now time.Duration) {
-	isBounded := len(c.probes) >= maxProbesPerExchange || c.set.openProbes >= c.set.maxProbes
-	if isBounded || !c.set.loop.IsAttached() || c.isAddressTakenOver() {
+	isLimitReached := len(c.probes) >= maxProbesPerExchange || c.set.openProbes >= c.set.maxProbes
+	if isLimitReached || !c.set.loop.IsAttached() || c.isAddressTakenOver() {
 		return
 	}
-	c.reach.RecordProbe(now)
+	c.detector.RecordProbe(now)
 	c.set.Counters.Probes++
 	c.set.openProbes++
 	p := &Probe{conn: c, address: c.address, startedAt: now}
@@ -69,7 +69,7 @@
 }
 
 func (p *Probe) handleFailure(err error) {
-	p.forget()
+	p.unregister()
 	if !p.isCurrent() {
 		return
 	}
@@ -77,8 +77,8 @@
 	p.conn.recordFailedConnection(p.startedAt, p.conn.set.probeTimeout(), err)
 }
 
-// forget removes the probe from its exchange's list.
-func (p *Probe) forget() {
+// unregister removes the probe from its exchange's list.
+func (p *Probe) unregister() {
 	c := p.conn
 	before := len(c.probes)
 	c.probes = slices.DeleteFunc(c.probes, func(other *Probe) bool { return other == p })
@@ -89,26 +89,26 @@
 func (p *Probe) HandleOpen(socket gnet.Conn) bool {
 	c := p.conn
 	if !p.isCurrent() {
-		p.forget()
+		p.unregister()
 		return false
 	}
 	if c.conn == nil {
-		p.forget()
+		p.unregister()
 		c.dialing.cancel() // a dial in progress is no longer needed
-		c.adopt(socket)
+		c.attach(socket)
 		return true
 	}
-	c.recordSign()
+	c.recordSignOfLife()
 	p.openedAt = c.set.loop.Now()
 	p.socket = eventloop.NewConn(socket, p.openedAt)
-	p.input = c.protocol.newInput(p.socket.IsOpen)
+	p.input = c.protocol.newInputHandler(p.socket.IsOpen)
 	socket.SetContext(p)
 	return true
 }
 
 // HandleSocketData handles data received on the probe.
 func (p *Probe) HandleSocketData(_ gnet.Conn, data []byte) {
-	p.conn.recordSign()
+	p.conn.recordSignOfLife()
 	if _, err := p.input.handleData(data); err != nil {
 		p.conn.set.reportMalformed("exchange "+p.conn.id, err)
 		p.conn.set.loop.Close(p.socket)
@@ -118,7 +118,7 @@
 // HandleClose handles the close of the socket.
 func (p *Probe) HandleClose(gnet.Conn, error) {
 	p.socket.MarkClosed()
-	p.forget()
+	p.unregister()
 }
 
 // expire closes the sending side after probeHold, and the whole probe if the exchange does not close its end in time.
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -6,8 +6,8 @@
 	"olivedale/internal/call"
 )
 
-// An input decodes and handles the messages received on one connection.
-type input interface {
+// An inputHandler decodes and handles the messages received on one connection.
+type inputHandler interface {
 	// handleData handles received data and reports whether it completed a message.
 	handleData(data []byte) (complete bool, err error)
 	// hasPartialMessage reports whether an incomplete message is buffered.
@@ -22,14 +22,15 @@
 	appendCancel(b []byte, id string, attempt int) []byte
 	// appendRelease appends the release of an established call.
 	appendRelease(b []byte, id string, attempt, cause int) []byte
-	// newInput returns the input of a new connection. It stops handling messages once isOpen returns false.
-	newInput(isOpen func() bool) input
+	// newInputHandler returns the input handler of a new connection. It stops handling messages once isOpen returns
+	// false.
+	newInputHandler(isOpen func() bool) inputHandler
 	// reset discards the requests that were sent on an earlier connection.
 	reset()
-	// unsettledAttempts returns, by call id, the attempts for which the exchange has not sent a final reply.
-	unsettledAttempts() map[string]int
+	// unresolvedAttempts returns, by call id, the attempts for which the exchange has not sent a final reply.
+	unresolvedAttempts() map[string]int
 	// expire drops the state of calls that have ended.
 	expire(now time.Duration)
-	// rememberedCalls returns the number of calls for which state is kept.
-	rememberedCalls() int
+	// trackedCalls returns the number of calls for which state is kept.
+	trackedCalls() int
 }
--- a/internal/backend/reachability.go
+++ b/internal/backend/reachability.go
@@ -15,13 +15,13 @@
 
 // isSuspect reports whether the exchange may be unreachable while calls are established there.
 func (c *Conn) isSuspect() bool {
-	return c.reach.State() == reachability.Suspect && c.set.calls.EstablishedAt(c.id) > 0
+	return c.detector.State() == reachability.Suspect && c.set.calls.EstablishedAt(c.id) > 0
 }
 
-// recordSign records a sign of life from the exchange.
-func (c *Conn) recordSign() {
+// recordSignOfLife records a sign of life from the exchange.
+func (c *Conn) recordSignOfLife() {
 	now := c.set.loop.Now()
-	previous, outage := c.reach.RecordActivity(now)
+	previous, outage := c.detector.RecordActivity(now)
 	if previous != reachability.Reachable {
 		c.logReachable(previous, outage, now)
 	}
@@ -39,8 +39,8 @@
 		c.handleRefusal()
 	case isOutage(err):
 		now := c.set.loop.Now()
-		if c.reach.RecordFailure(now, startedAt, timeout) {
-			c.set.loop.Log.Warnw("exchange_suspect", "id", c.id, "silent", now-c.reach.Outage().Began,
+		if c.detector.RecordFailure(now, startedAt, timeout) {
+			c.set.loop.Log.Warnw("exchange_suspect", "id", c.id, "silent", now-c.detector.Outage().Began,
 				"connected", c.IsConnected(), "standing", c.set.calls.EstablishedAt(c.id), "err", err)
 		}
 	}
@@ -51,17 +51,17 @@
 // cannot release them, so the callers are notified from here.
 func (c *Conn) handleRefusal() {
 	now := c.set.loop.Now()
-	outage := c.reach.Outage()
-	previous := c.reach.State()
-	hasReturned := c.reach.RecordRefusal(now)
-	if hasReturned {
+	outage := c.detector.Outage()
+	previous := c.detector.State()
+	processEnded := c.detector.RecordRefusal(now)
+	if processEnded {
 		c.logReachable(previous, outage, now)
 	}
-	if !hasReturned && !c.dialing.lostConnection {
+	if !processEnded && !c.dialing.lostConnection {
 		return
 	}
 	c.dialing.lostConnection = false
-	c.dropCalls(lossRefused, now+1)
+	c.endCallsBefore(lossRefused, now+1)
 	c.Disconnect(call.ConnectionReset)
 }
 
@@ -80,13 +80,13 @@
 	if c.isRemoved || c.set.calls.EstablishedAt(c.id) == 0 {
 		return
 	}
-	if c.reach.CheckLost(now) {
+	if c.detector.CheckLost(now) {
 		c.set.Counters.ExchangesLost++
-		c.loseCalls(lossUnreachable)
+		c.endAllCalls(lossUnreachable)
 		c.Disconnect(call.Unresponsive)
 		return
 	}
-	if c.reach.IsProbeDue(now) {
+	if c.detector.IsProbeDue(now) {
 		c.startProbe(now)
 	}
 }
--- a/internal/backend/release.go
+++ b/internal/backend/release.go
@@ -104,17 +104,17 @@
 // release releases a call at the exchange, now if it is connected and otherwise on the next connection.
 func (c *Conn) release(id string, r pendingRelease) {
 	r.requestedAt = c.set.loop.Now()
-	isKept := c.releases.add(id, r)
+	isStored := c.releases.add(id, r)
 	switch {
 	case c.conn != nil:
 		c.writeRelease(id, r)
-	case !isKept && !r.isUnknownCall:
+	case !isStored && !r.isUnknownCall:
 		c.set.Counters.ReleasesDiscarded++
 	}
 }
 
 func (c *Conn) writeRelease(id string, r pendingRelease) {
-	if _, isKept := c.releases.byID[id]; isKept {
+	if _, isStored := c.releases.byID[id]; isStored {
 		r.sentAt = c.set.loop.Now()
 		c.releases.byID[id] = r
 	}
--- a/internal/backend/sip.go
+++ b/internal/backend/sip.go
@@ -27,20 +27,20 @@
 type cseqNumbering int
 
 const (
-	cseqUnknown  cseqNumbering = iota
-	cseqRepeated               // the exchange echoes our numbers
-	cseqOwn                    // the exchange uses its own numbers
+	cseqUnknown cseqNumbering = iota
+	cseqEchoed                // the exchange echoes our numbers
+	cseqOwn                   // the exchange uses its own numbers
 )
 
 // A dialog is the latest attempt of a call at the exchange.
 type dialog struct {
-	number           string
-	attempt          int
-	isCanceled       bool
-	isAnswered       bool          // the final response has been received
-	awaitsCanceled   bool          // the final response to an earlier, cancelled attempt is outstanding
-	hasEarlierAnswer bool          // an earlier attempt was answered: a duplicate of that answer may arrive
-	expiresAt        time.Duration // 0 while the call is open
+	number                 string
+	attempt                int
+	isCanceled             bool
+	isAnswered             bool          // the final response has been received
+	awaitsCanceledResponse bool          // the final response to an earlier, cancelled attempt is outstanding
+	hasEarlierAnswer       bool          // an earlier attempt was answered: a duplicate of that answer may arrive
+	expiresAt              time.Duration // 0 while the call is open
 }
 
 // isExpired reports whether the dialog may be dropped.
@@ -50,11 +50,11 @@
 	return &sipProtocol{conn: c, dialogs: make(map[string]*dialog)}
 }
 
-func (p *sipProtocol) reset()               {} // only the input is tied to a connection
-func (p *sipProtocol) rememberedCalls() int { return len(p.dialogs) }
+func (p *sipProtocol) reset()            {} // only the input handler is tied to a connection
+func (p *sipProtocol) trackedCalls() int { return len(p.dialogs) }
 
-// unsettledAttempts implements protocol. It returns the open attempts and the cancelled ones without a final response.
-func (p *sipProtocol) unsettledAttempts() map[string]int {
+// unresolvedAttempts implements protocol. It returns the open attempts and the cancelled ones without a final response.
+func (p *sipProtocol) unresolvedAttempts() map[string]int {
 	unsettled := make(map[string]int)
 	for id, d := range p.dialogs {
 		if !d.isAnswered {
@@ -108,7 +108,7 @@
 	}
 	d := &dialog{number: s.Number, attempt: s.Attempt}
 	if earlier := p.dialogs[s.ID]; earlier != nil {
-		d.awaitsCanceled = earlier.isCanceled && !earlier.isAnswered
+		d.awaitsCanceledResponse = earlier.isCanceled && !earlier.isAnswered
 		d.hasEarlierAnswer = earlier.isAnswered || earlier.hasEarlierAnswer
 	}
 	p.dialogs[s.ID] = d
@@ -134,20 +134,20 @@
 	})
 }
 
-// A sipInput decodes the messages received on one connection.
-type sipInput struct {
+// A sipInputHandler decodes the messages received on one connection.
+type sipInputHandler struct {
 	protocol *sipProtocol
 	isOpen   func() bool
 	reader   sip.Reader
 }
 
-func (p *sipProtocol) newInput(isOpen func() bool) input {
-	return &sipInput{protocol: p, isOpen: isOpen}
+func (p *sipProtocol) newInputHandler(isOpen func() bool) inputHandler {
+	return &sipInputHandler{protocol: p, isOpen: isOpen}
 }
 
-func (in *sipInput) hasPartialMessage() bool { return in.reader.HasPartial() }
+func (in *sipInputHandler) hasPartialMessage() bool { return in.reader.HasPartial() }
 
-func (in *sipInput) handleData(data []byte) (complete bool, err error) {
+func (in *sipInputHandler) handleData(data []byte) (complete bool, err error) {
 	err = in.reader.Feed(data, func(m *sip.Message) bool {
 		complete = true
 		if m.Status > 0 {
@@ -165,7 +165,7 @@
 	case m.Status < 200:
 	case m.CSeqMethod == "BYE":
 		p.conn.releases.remove(m.CallID)
-		p.forget(m.CallID)
+		p.removeDialog(m.CallID)
 	case m.CSeqMethod == "INVITE":
 		p.handleFinalResponse(m)
 	}
@@ -182,11 +182,11 @@
 		return sip.AppendRequest(b, &sip.Request{Method: "ACK", Number: d.number, CallID: m.CallID, CSeq: m.CSeq})
 	})
 	attempt, isOpen := p.conn.openAttempts[m.CallID]
-	isNumbered := d.hasEarlierAnswer && p.cseqNumbering == cseqRepeated
+	canMatchByCSeq := d.hasEarlierAnswer && p.cseqNumbering == cseqEchoed
 	switch {
-	case m.Status == 487 && d.awaitsCanceled:
-		d.awaitsCanceled = false // belongs to an earlier attempt: it must not end the current one
-	case isOpen && m.Status >= 300 && isNumbered && m.CSeq != attempt+1:
+	case m.Status == 487 && d.awaitsCanceledResponse:
+		d.awaitsCanceledResponse = false // belongs to an earlier attempt: it must not end the current one
+	case isOpen && m.Status >= 300 && canMatchByCSeq && m.CSeq != attempt+1:
 		p.conn.set.Counters.Strays++ // duplicate answer to an earlier attempt: this one stays open
 	case isOpen:
 		p.endAttempt(m, d, attempt)
@@ -205,7 +205,7 @@
 	set := p.conn.set
 	delete(p.conn.openAttempts, m.CallID)
 	d.isAnswered = true
-	if !d.hasEarlierAnswer && !d.awaitsCanceled {
+	if !d.hasEarlierAnswer && !d.awaitsCanceledResponse {
 		p.learnNumbering(m, attempt)
 	}
 	if m.Status < 300 {
@@ -213,7 +213,7 @@
 		return
 	}
 	d.expiresAt = set.loop.Now() + duplicateAnswerTimeout
-	if d.hasEarlierAnswer && p.cseqNumbering != cseqRepeated {
+	if d.hasEarlierAnswer && p.cseqNumbering != cseqEchoed {
 		// This may be a duplicate of an earlier answer while the attempt is still open at the exchange. Cancel it, so
 		// that there are never two attempts at once.
 		p.write(func(b []byte) []byte { return p.appendCancel(b, m.CallID, attempt) })
@@ -231,12 +231,12 @@
 	case m.CSeq != attempt+1:
 		p.cseqNumbering = cseqOwn
 	case p.cseqNumbering == cseqUnknown && attempt > 0:
-		p.cseqNumbering = cseqRepeated
+		p.cseqNumbering = cseqEchoed
 	}
 }
 
-// forget drops a dialog that both sides have ended.
-func (p *sipProtocol) forget(id string) {
+// removeDialog drops a dialog that both sides have ended.
+func (p *sipProtocol) removeDialog(id string) {
 	if _, isOpen := p.conn.openAttempts[id]; !isOpen {
 		delete(p.dialogs, id)
 	}
@@ -275,7 +275,7 @@
 	case "BYE":
 		p.respond(m, 200, "OK")
 		p.conn.releases.remove(m.CallID)
-		p.forget(m.CallID)
+		p.removeDialog(m.CallID)
 		origin := p.conn.releaseOrigin(m.CallID)
 		set.calls.BackendReleased(origin, m.CallID, m.ReleaseCause(), set.frontends...)
 	case "OPTIONS":
