--- a/internal/codec/h248/transaction/store.go
+++ b/internal/codec/h248/transaction/store.go
@@ -28,10 +28,10 @@
 	replyBytes int
 }
 
-// An Entry is a received transaction.
+// An Entry is a received transaction. Its time is that of the receipt, or of the reply once there is one.
 type Entry struct {
-	reply []byte        // nil while the transaction is running
-	at    time.Duration // when the transaction was received or, once it has completed, when that was
+	reply []byte // nil while the transaction is running
+	at    time.Duration
 }
 
 // Reply returns the framed reply, or nil while the transaction is running.
--- a/internal/codec/sip/reader.go
+++ b/internal/codec/sip/reader.go
@@ -21,10 +21,10 @@
 
 // A Reader reassembles messages from the chunks that a connection delivers. The zero value is ready to use.
 type Reader struct {
-	buffer     []byte   // received bytes that have not been consumed
-	scanned    int      // length of the prefix of buffer known to contain no end of a head
-	head       *Message // parsed head of a message whose body is incomplete; nil if none
-	bodyLength int      // Content-Length of head
+	buffer     []byte // received bytes that have not been consumed
+	scanned    int    // length of the prefix of buffer known to contain no end of a head
+	head       *Message
+	bodyLength int // Content-Length of head
 }
 
 // HasPartial reports whether a partial message is buffered.
--- a/internal/frontend/jsonclient/client.go
+++ b/internal/frontend/jsonclient/client.go
@@ -13,14 +13,14 @@
 	"olivedale/internal/frontend"
 )
 
-// A reliability is a rank of connections by how likely their client is to act on a release.
+// A reliability ranks connections by how likely their client is to act on a release. A new connection is unproven.
 type reliability int
 
 const (
-	unproven      reliability = iota // no established call and no confirmed release yet
-	established                      // has had an established call
-	confirming                       // has confirmed a release
-	reliabilities                    // number of levels
+	unproven      reliability = iota
+	established               // has had an established call
+	confirming                // has confirmed a release
+	reliabilities             // number of levels
 )
 
 // A Client is one connection from a caller that speaks JSON lines.
