--- a/internal/frontend/gateway/call.go
+++ b/internal/frontend/gateway/call.go
@@ -15,7 +15,7 @@
 // A gatewayCall is the frontend's state of one call. It implements call.Client to receive the call's answer.
 type gatewayCall struct {
 	frontend      *Frontend
-	answerTo      *Gateway // connection on which the set-up is answered; nil once answered
+	replyTo       *Gateway // connection on which the set-up is answered; nil once answered
 	entry         *transaction.Entry
 	transactionID uint32
 	messageID     string // of the gateway
@@ -97,7 +97,7 @@
 	request.ID = fmt.Sprintf("%016x", f.host.Random.Uint64())
 	c := &gatewayCall{
 		frontend:      f,
-		answerTo:      g,
+		replyTo:       g,
 		entry:         entry,
 		transactionID: t.ID,
 		messageID:     messageID,
@@ -173,7 +173,7 @@
 		f.host.Loop.Defer(func() { f.releaseCall(c, call.CauseTemporaryFailure) })
 		return
 	}
-	c.context = f.newContext()
+	c.context = f.newContextID()
 	f.calls.byContext[c.context] = c
 	local := &h248.Node{Name: "Local", Octets: description}
 	add := &h248.Command{
@@ -211,7 +211,7 @@
 
 // answer sends the reply to the transaction of the set-up.
 func (c *gatewayCall) answer(a *h248.Action) {
-	g := c.answerTo
-	c.answerTo = nil
+	g := c.replyTo
+	c.replyTo = nil
 	g.reply(c.entry, &h248.Transaction{ID: c.transactionID, Actions: []*h248.Action{a}})
 }
--- a/internal/frontend/gateway/command.go
+++ b/internal/frontend/gateway/command.go
@@ -33,7 +33,7 @@
 }
 
 func (g *Gateway) runCommand(messageID string, a *h248.Action, c *h248.Command) (*h248.Command, *h248.Error) {
-	done := &h248.Command{Name: c.Name, Termination: c.Termination}
+	reply := &h248.Command{Name: c.Name, Termination: c.Termination}
 	var err *h248.Error
 	switch c.Name {
 	case "Subtract":
@@ -47,16 +47,16 @@
 	case "ServiceChange":
 		err = g.changeService(messageID, c)
 	case "Modify":
-		done.Descriptors, err = g.modify(c)
+		reply.Descriptors, err = g.modify(c)
 	case "AuditValue":
-		done.Descriptors, err = g.audit(c)
+		reply.Descriptors, err = g.audit(c)
 	default:
 		err = &h248.Error{Code: h248.NotImplemented, Text: c.Name}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return done, nil
+	return reply, nil
 }
 
 // runRelease releases the call that a command refers to.
@@ -79,7 +79,7 @@
 	case g.isAdmin && strings.EqualFold(method, "Graceful"):
 		f.host.Loop.Defer(f.admin.BeginShutdown)
 	case strings.EqualFold(method, "Restart"), strings.EqualFold(method, "Forced"):
-		f.releaseAllOf(messageID)
+		f.releaseAllCalls(messageID)
 	}
 	return nil
 }
--- a/internal/frontend/gateway/frontend.go
+++ b/internal/frontend/gateway/frontend.go
@@ -41,16 +41,16 @@
 
 // A Frontend accepts connections from media gateways and from the agent.
 type Frontend struct {
-	host          *frontend.Host
-	admin         Administrator
-	messageID     string // of this controller
-	gateways      *frontend.Registry[*Gateway]
-	byMessageID   map[string]*eventloop.IdleList[*Gateway]
-	received      *transaction.Store
-	calls         callTable
-	lastContext   uint32
-	lastNotify    uint32
-	pendingNotify map[uint32]*pendingNotify // by transaction id
+	host            *frontend.Host
+	admin           Administrator
+	messageID       string // of this controller
+	gateways        *frontend.Registry[*Gateway]
+	byMessageID     map[string]*eventloop.IdleList[*Gateway]
+	received        *transaction.Store
+	calls           callTable
+	lastContextID   uint32
+	lastNotifyID    uint32
+	pendingNotifies map[uint32]*pendingNotify // by transaction id
 }
 
 var _ frontend.Frontend = (*Frontend)(nil)
@@ -66,14 +66,14 @@
 // New returns a frontend that accepts at most maxGateways connections.
 func New(host *frontend.Host, admin Administrator, maxGateways int) *Frontend {
 	return &Frontend{
-		host:          host,
-		admin:         admin,
-		messageID:     transaction.MessageID(host.Config.Name),
-		gateways:      frontend.NewRegistry[*Gateway](host, maxGateways),
-		byMessageID:   make(map[string]*eventloop.IdleList[*Gateway]),
-		received:      transaction.NewStore(host.Config.MemoryMB << maxTransactionsShift),
-		calls:         newCallTable(),
-		pendingNotify: make(map[uint32]*pendingNotify),
+		host:            host,
+		admin:           admin,
+		messageID:       transaction.MessageID(host.Config.Name),
+		gateways:        frontend.NewRegistry[*Gateway](host, maxGateways),
+		byMessageID:     make(map[string]*eventloop.IdleList[*Gateway]),
+		received:        transaction.NewStore(host.Config.MemoryMB << maxTransactionsShift),
+		calls:           newCallTable(),
+		pendingNotifies: make(map[uint32]*pendingNotify),
 	}
 }
 
@@ -81,7 +81,7 @@
 func (f *Frontend) Gateways() *frontend.Registry[*Gateway] { return f.gateways }
 
 // PendingNotifies returns the number of release notifications to which gateways have not replied.
-func (f *Frontend) PendingNotifies() int { return len(f.pendingNotify) }
+func (f *Frontend) PendingNotifies() int { return len(f.pendingNotifies) }
 
 // Accept accepts a connection; isAdmin tells that it was made to the admin address. It returns false if the limit on
 // connections is reached.
@@ -105,7 +105,7 @@
 // HasPendingWork implements frontend.Frontend. It reports whether a gateway has unread replies or there is a release
 // notification that was never sent.
 func (f *Frontend) HasPendingWork() bool {
-	for _, n := range f.pendingNotify {
+	for _, n := range f.pendingNotifies {
 		if !n.isSent {
 			return true
 		}
@@ -126,8 +126,8 @@
 	}
 	f.calls.remove(c)
 	n := f.newNotify(c, cause)
-	if len(f.pendingNotify) < f.host.Config.MemoryMB<<maxNotifiesShift {
-		f.pendingNotify[f.lastNotify] = n
+	if len(f.pendingNotifies) < f.host.Config.MemoryMB<<maxNotifiesShift {
+		f.pendingNotifies[f.lastNotifyID] = n
 	} else {
 		f.host.Counters.ReleasesDiscarded++ // limits the memory if gateways do not reply
 	}
@@ -146,7 +146,7 @@
 
 // newNotify returns the transaction that notifies a gateway of the release of a call.
 func (f *Frontend) newNotify(c *gatewayCall, cause int) *pendingNotify {
-	f.lastNotify++
+	f.lastNotifyID++
 	command := &h248.Command{
 		Name:        "Notify",
 		Termination: c.termination,
@@ -154,7 +154,7 @@
 	}
 	t := &h248.Transaction{
 		Kind:    h248.Request,
-		ID:      f.lastNotify,
+		ID:      f.lastNotifyID,
 		Actions: []*h248.Action{{Context: c.context, Commands: []*h248.Command{command}}},
 	}
 	return &pendingNotify{
@@ -167,16 +167,16 @@
 // CloseOverdue implements frontend.Frontend. It also drops release notifications that got no reply in time.
 func (f *Frontend) CloseOverdue(now time.Duration) {
 	f.gateways.CloseOverdue(now)
-	for id, n := range f.pendingNotify {
+	for id, n := range f.pendingNotifies {
 		if now-n.createdAt > transaction.LongTimer {
-			delete(f.pendingNotify, id)
+			delete(f.pendingNotifies, id)
 			f.host.Counters.ReleasesDiscarded++
 		}
 	}
 }
 
-// newContext returns a new context id.
-func (f *Frontend) newContext() string {
-	f.lastContext++
-	return strconv.FormatUint(uint64(f.lastContext), 10)
+// newContextID returns a new context id.
+func (f *Frontend) newContextID() string {
+	f.lastContextID++
+	return strconv.FormatUint(uint64(f.lastContextID), 10)
 }
--- a/internal/frontend/gateway/gateway.go
+++ b/internal/frontend/gateway/gateway.go
@@ -11,13 +11,13 @@
 
 // A Gateway is one connection from a media gateway, or from the agent on the admin address.
 type Gateway struct {
-	frontend       *Frontend
-	conn           *eventloop.Conn
-	framer         h248.Framer
-	messageID      string // of the latest message; "" before the first message
-	isAdmin        bool
-	membership     frontend.Membership
-	messageIDPlace eventloop.Element // position among the connections with the same message id
+	frontend         *Frontend
+	conn             *eventloop.Conn
+	framer           h248.Framer
+	messageID        string // of the latest message; "" before the first message
+	isAdmin          bool
+	membership       frontend.Membership
+	messageIDElement eventloop.Element // position among the connections with the same message id
 }
 
 var _ frontend.Connection = (*Gateway)(nil)
@@ -28,7 +28,7 @@
 // HasOpenSetup implements frontend.Connection.
 func (g *Gateway) HasOpenSetup() bool {
 	for _, c := range g.frontend.calls.byID {
-		if c.answerTo == g {
+		if c.replyTo == g {
 			return true
 		}
 	}
@@ -48,8 +48,8 @@
 func (g *Gateway) HandleData(data []byte) {
 	f := g.frontend
 	f.gateways.Touch(&g.membership)
-	if g.messageIDPlace != nil {
-		f.byMessageID[g.messageID].Touch(g.messageIDPlace)
+	if g.messageIDElement != nil {
+		f.byMessageID[g.messageID].Touch(g.messageIDElement)
 	}
 	isComplete := false
 	err := g.framer.Feed(data, func(text []byte) bool {
@@ -82,9 +82,9 @@
 	g.frontend.host.Loop.Close(g.conn)
 }
 
-// handleLastData handles data that was received before the connection broke. Set-ups are ignored because their caller
-// can no longer be answered.
-func (g *Gateway) handleLastData(data []byte) {
+// handleRemainingData handles data that was received before the connection broke. Set-ups are ignored because their
+// caller can no longer be answered.
+func (g *Gateway) handleRemainingData(data []byte) {
 	_ = g.framer.Feed(data, func(text []byte) bool {
 		m, parseErr := h248.Parse(text)
 		if parseErr != nil {
@@ -99,7 +99,7 @@
 func (g *Gateway) HandleClose(err error) {
 	g.conn.MarkClosed()
 	if eventloop.IsFailedWrite(err) {
-		eventloop.DrainReadBuffer(g.conn.Socket(), g.handleLastData)
+		eventloop.DrainReadBuffer(g.conn.Socket(), g.handleRemainingData)
 	}
 	g.remove()
 }
@@ -111,7 +111,7 @@
 	f.gateways.Remove(&g.membership)
 	g.setMessageID("")
 	for _, c := range f.calls.byID {
-		if c.answerTo == g {
+		if c.replyTo == g {
 			f.calls.remove(c)
 			f.host.Calls.CallerDisconnected(c)
 			c.fail(h248.TemporaryFailure, "given up: the connection closed")
@@ -123,7 +123,7 @@
 func (g *Gateway) setMessageID(messageID string) {
 	f := g.frontend
 	if list := f.byMessageID[g.messageID]; list != nil {
-		list.Remove(&g.messageIDPlace)
+		list.Remove(&g.messageIDElement)
 		if list.Len() == 0 {
 			delete(f.byMessageID, g.messageID)
 		}
@@ -135,7 +135,7 @@
 	if f.byMessageID[messageID] == nil {
 		f.byMessageID[messageID] = &eventloop.IdleList[*Gateway]{}
 	}
-	g.messageIDPlace = f.byMessageID[messageID].Add(g)
+	g.messageIDElement = f.byMessageID[messageID].Add(g)
 }
 
 func (g *Gateway) handleMessage(m *h248.Message) {
@@ -149,7 +149,7 @@
 		case h248.Request:
 			g.handleRequest(m.MID, t)
 		case h248.Reply:
-			delete(f.pendingNotify, t.ID)
+			delete(f.pendingNotifies, t.ID)
 		case h248.Ack:
 			f.received.Acknowledge(m.MID, t.Acked)
 		case h248.Pending: // the reply will follow
@@ -159,7 +159,7 @@
 
 // sendPendingNotifies sends the release notifications to which the gateway has not replied.
 func (g *Gateway) sendPendingNotifies() {
-	for _, n := range g.frontend.pendingNotify {
+	for _, n := range g.frontend.pendingNotifies {
 		if n.messageID == g.messageID && g.conn.IsOpen() {
 			g.sendNotify(n)
 		}
@@ -228,7 +228,7 @@
 	}
 	for _, c := range f.calls.byID {
 		if c.entry == entry {
-			c.answerTo = g
+			c.replyTo = g
 		}
 	}
 	g.send(transaction.Frame(f.messageID, &h248.Transaction{Kind: h248.Pending, ID: t.ID}))
@@ -246,13 +246,13 @@
 func (f *Frontend) releaseCall(c *gatewayCall, cause int) {
 	f.calls.remove(c)
 	f.host.Calls.ReleaseByCaller(c.id, cause)
-	if c.answerTo != nil {
+	if c.replyTo != nil {
 		c.fail(h248.TemporaryFailure, "given up by the caller")
 	}
 }
 
-// releaseAllOf releases all calls of a gateway that has lost its state.
-func (f *Frontend) releaseAllOf(messageID string) {
+// releaseAllCalls releases all calls of a gateway that has lost its state.
+func (f *Frontend) releaseAllCalls(messageID string) {
 	for _, c := range f.calls.byID {
 		if c.messageID == messageID {
 			f.releaseCall(c, call.CauseNormal)
--- a/internal/frontend/jsonclient/client.go
+++ b/internal/frontend/jsonclient/client.go
@@ -17,10 +17,10 @@
 type reliability int
 
 const (
-	unproven      reliability = iota
-	established               // has had an established call
-	confirming                // has confirmed a release
-	reliabilities             // number of levels
+	unproven          reliability = iota
+	established                   // has had an established call
+	confirming                    // has confirmed a release
+	reliabilityLevels             // number of levels
 )
 
 // A Client is one connection from a caller that speaks JSON lines.
@@ -34,7 +34,7 @@
 	hasConfirmedRelease bool
 	membership          frontend.Membership
 	reliability         reliability
-	reliabilityPlace    eventloop.Element
+	reliabilityElement  eventloop.Element
 }
 
 var (
@@ -63,12 +63,12 @@
 	case c.hasEstablishedCall:
 		level = established
 	}
-	if level == c.reliability || c.reliabilityPlace == nil {
+	if level == c.reliability || c.reliabilityElement == nil {
 		return
 	}
-	c.frontend.byReliability[c.reliability].Remove(&c.reliabilityPlace)
+	c.frontend.byReliability[c.reliability].Remove(&c.reliabilityElement)
 	c.reliability = level
-	c.reliabilityPlace = c.frontend.byReliability[level].Add(c)
+	c.reliabilityElement = c.frontend.byReliability[level].Add(c)
 }
 
 // addUnconfirmed stores a sent release and drops those that were sent too long ago to be resent.
@@ -84,7 +84,7 @@
 func (c *Client) HandleClose(err error) {
 	c.conn.MarkClosed()
 	if eventloop.IsFailedWrite(err) {
-		eventloop.DrainReadBuffer(c.conn.Socket(), c.handleLastData)
+		eventloop.DrainReadBuffer(c.conn.Socket(), c.handleRemainingData)
 		for _, id := range c.conn.UnflushedIDs() {
 			c.frontend.host.Calls.ReleaseByCaller(id, call.CauseNormal)
 		}
@@ -97,7 +97,7 @@
 func (c *Client) remove() {
 	f := c.frontend
 	f.clients.Remove(&c.membership)
-	f.byReliability[c.reliability].Remove(&c.reliabilityPlace)
+	f.byReliability[c.reliability].Remove(&c.reliabilityElement)
 	if c.HasOpenSetup() {
 		f.host.Calls.CallerDisconnected(c)
 	}
@@ -113,7 +113,7 @@
 func (c *Client) HandleData(data []byte) {
 	f := c.frontend
 	f.clients.Touch(&c.membership)
-	f.byReliability[c.reliability].Touch(c.reliabilityPlace)
+	f.byReliability[c.reliability].Touch(c.reliabilityElement)
 	var messageErr error
 	isComplete := false
 	err := c.reader.Feed(data, func(m *jsonl.Message) bool {
@@ -132,9 +132,9 @@
 	f.clients.RecordInput(c, &c.membership, isComplete, c.reader.HasPartial())
 }
 
-// handleLastData handles data that was received before the connection broke. Releases are processed; set-ups are
+// handleRemainingData handles data that was received before the connection broke. Releases are processed; set-ups are
 // ignored because their caller can no longer be answered.
-func (c *Client) handleLastData(data []byte) {
+func (c *Client) handleRemainingData(data []byte) {
 	_ = c.reader.Feed(data, func(m *jsonl.Message) bool {
 		return m.Verb == jsonl.Start || c.handleMessage(m) == nil
 	})
@@ -149,7 +149,7 @@
 	case jsonl.Finished:
 		c.handleConfirmation(m.Tag)
 	case jsonl.Echo:
-		c.handleTest(m.Tag)
+		c.handleEcho(m.Tag)
 	case jsonl.Pending, jsonl.Load: // not used by the controller
 	default:
 		return fmt.Errorf("unknown verb %.20q", m.Verb)
@@ -159,17 +159,17 @@
 
 // Result codes of a liveness probe.
 const (
-	testFailed = 0
-	testPassed = 1
+	echoFailed = 0
+	echoPassed = 1
 )
 
-// handleTest answers a liveness probe. The result is testFailed when the process is about to exit.
-func (c *Client) handleTest(tag string) {
+// handleEcho answers a liveness probe. The result is echoFailed when the process is about to exit.
+func (c *Client) handleEcho(tag string) {
 	host := c.frontend.host
 	host.Counters.Echoes++
-	result := testPassed
+	result := echoPassed
 	if host.IsDisconnected() {
-		result = testFailed
+		result = echoFailed
 	}
 	c.write(&jsonl.Message{Verb: jsonl.Echoed, Tag: tag, ResultCode: result, HasResultCode: true})
 }
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	if !s.isPossible {
+	if !s.isValid {
 		host.Counters.InvalidSetups++
 		host.Calls.RejectInvalid(c, s.request)
 		return nil
--- a/internal/frontend/jsonclient/frontend.go
+++ b/internal/frontend/jsonclient/frontend.go
@@ -20,17 +20,17 @@
 	confirmationTimeout = time.Second
 	// maxReleaseAge is the age at which a release that could not be sent to a reliable connection is dropped.
 	maxReleaseAge = 8 * time.Second
-	// firstSetupTime is how long after a connection was opened its first set-up may still be in transit.
-	firstSetupTime = 50 * time.Millisecond
-	// maxQueuedShift limits the queued releases to 1<<maxQueuedShift per MB of memory.
-	maxQueuedShift = 7
+	// firstSetupGracePeriod is how long after a connection was opened its first set-up may still be in transit.
+	firstSetupGracePeriod = 50 * time.Millisecond
+	// maxQueuedReleasesShift limits the queued releases to 1<<maxQueuedReleasesShift per MB of memory.
+	maxQueuedReleasesShift = 7
 )
 
 // A Frontend accepts connections from callers that speak JSON lines.
 type Frontend struct {
 	host          *frontend.Host
 	clients       *frontend.Registry[*Client]
-	byReliability [reliabilities]eventloop.IdleList[*Client]
+	byReliability [reliabilityLevels]eventloop.IdleList[*Client]
 	queued        []release // releases for which there was no reliable connection
 }
 
@@ -76,7 +76,7 @@
 	c.conn.LimitUnreadOutput(true)
 	socket.SetContext(c)
 	f.clients.Add(c, &c.membership)
-	c.reliabilityPlace = f.byReliability[c.reliability].Add(c)
+	c.reliabilityElement = f.byReliability[c.reliability].Add(c)
 	return true
 }
 
@@ -89,7 +89,7 @@
 	for c := range f.clients.Oldest() {
 		switch {
 		case c.HasOpenSetup() || !c.conn.IsOpen():
-		case !c.conn.HasSentMessage() && c.conn.Age(now) < firstSetupTime:
+		case !c.conn.HasSentMessage() && c.conn.Age(now) < firstSetupGracePeriod:
 			if fresh == nil {
 				fresh = c
 			}
@@ -146,7 +146,7 @@
 	if ok && origin.membership.IsRegistered() && origin.conn.IsOpen() {
 		return origin, true
 	}
-	for level := reliabilities - 1; level >= unproven; level-- {
+	for level := reliabilityLevels - 1; level >= unproven; level-- {
 		for c := range f.byReliability[level].Latest() {
 			if c.conn.IsOpen() {
 				return c, level > unproven
@@ -170,7 +170,7 @@
 		target.addUnconfirmed(r)
 		return
 	}
-	if len(f.queued) >= f.host.Config.MemoryMB<<maxQueuedShift {
+	if len(f.queued) >= f.host.Config.MemoryMB<<maxQueuedReleasesShift {
 		f.queued = f.queued[1:] // limits the memory if exchanges release calls while no caller is connected
 		f.host.Counters.ReleasesDiscarded++
 	}
--- a/internal/frontend/jsonclient/setup.go
+++ b/internal/frontend/jsonclient/setup.go
@@ -15,9 +15,9 @@
 // A setup is a set-up as requested by a caller.
 type setup struct {
 	request call.Request
-	// isPossible is false for a well-formed set-up that no exchange can carry. It is rejected without being offered to
+	// isValid is false for a well-formed set-up that no exchange can carry. It is rejected without being offered to
 	// an exchange.
-	isPossible bool
+	isValid bool
 }
 
 // extras holds the additional options of a set-up.
@@ -57,7 +57,7 @@
 	r.PreferredPool = e.preferredPool
 	r.Reestablish = e.reestablish
 	hasCircuits := e.circuits >= 1 && e.circuits <= cfg.MaxCircuits(r.Class)
-	s.isPossible = hasCircuits && f.host.IsPoolAllowed(r.Class, r.PreferredPool)
+	s.isValid = hasCircuits && f.host.IsPoolAllowed(r.Class, r.PreferredPool)
 	return s, nil
 }
 
--- a/internal/frontend/registry.go
+++ b/internal/frontend/registry.go
@@ -12,16 +12,16 @@
 	// Max is the maximum number of connections, as allotted from the process's socket budget.
 	Max int
 
-	host        *Host
-	connections eventloop.IdleList[T]
-	mayOverdue  eventloop.IdleList[T] // connections that may become overdue
+	host              *Host
+	connections       eventloop.IdleList[T]
+	overdueCandidates eventloop.IdleList[T] // connections that may become overdue
 }
 
 // A Membership records the position of a connection in its Registry. The zero value means that it is not registered.
-type Membership struct{ place, overduePlace eventloop.Element }
+type Membership struct{ element, overdueElement eventloop.Element }
 
 // IsRegistered reports whether the connection is in the registry.
-func (m *Membership) IsRegistered() bool { return m.place != nil }
+func (m *Membership) IsRegistered() bool { return m.element != nil }
 
 // NewRegistry returns an empty registry.
 func NewRegistry[T Connection](host *Host, maxConnections int) *Registry[T] {
@@ -51,32 +51,32 @@
 
 // Add registers a newly opened connection.
 func (r *Registry[T]) Add(c T, m *Membership) {
-	m.place = r.connections.Add(c)
-	m.overduePlace = r.mayOverdue.Add(c)
+	m.element = r.connections.Add(c)
+	m.overdueElement = r.overdueCandidates.Add(c)
 }
 
 // Remove removes a connection.
 func (r *Registry[T]) Remove(m *Membership) {
-	r.connections.Remove(&m.place)
-	r.mayOverdue.Remove(&m.overduePlace)
+	r.connections.Remove(&m.element)
+	r.overdueCandidates.Remove(&m.overdueElement)
 }
 
 // Touch marks a connection as the most recently used.
-func (r *Registry[T]) Touch(m *Membership) { r.connections.Touch(m.place) }
+func (r *Registry[T]) Touch(m *Membership) { r.connections.Touch(m.element) }
 
 // RecordInput records whether received data completed a message, left a partial one, or both.
 func (r *Registry[T]) RecordInput(c T, m *Membership, complete, partial bool) {
 	now := r.host.Loop.Now()
 	c.Conn().RecordInput(now, complete, partial)
 	if m.IsRegistered() {
-		r.mayOverdue.UpdateOverdue(&m.overduePlace, c, c.Conn(), now)
+		r.overdueCandidates.UpdateOverdue(&m.overdueElement, c, c.Conn(), now)
 	}
 }
 
 // CloseOverdue closes connections that are overdue, have no open set-up and have no unread data in their socket. It
 // keeps silent connections from using up the process's file descriptors.
 func (r *Registry[T]) CloseOverdue(now time.Duration) {
-	for c := range r.mayOverdue.Oldest() {
+	for c := range r.overdueCandidates.Oldest() {
 		conn := c.Conn()
 		if !conn.IsOverdue(now) {
 			break // the remaining connections became silent later
