--- a/internal/codec/h248/golden_test.go
+++ b/internal/codec/h248/golden_test.go
@@ -155,9 +155,9 @@
 			continue
 		}
 		_, _ = fmt.Fprintf(&dump, "== %s\n", m.Name)
-		parsed, bad := Parse([]byte(texts[0]))
-		if bad != nil {
-			t.Errorf("%s: %v", m.Name, bad)
+		parsed, parseErr := Parse([]byte(texts[0]))
+		if parseErr != nil {
+			t.Errorf("%s: %v", m.Name, parseErr)
 			continue
 		}
 		dumpMessage(&dump, parsed)
--- a/internal/codec/h248/parser.go
+++ b/internal/codec/h248/parser.go
@@ -53,8 +53,8 @@
 	if !hasVersion || !isToken(name, "MEGACO", "!") {
 		return 0, p.fail(SyntaxInMessage, "no MEGACO header")
 	}
-	version, bad := strconv.Atoi(text)
-	if bad != nil {
+	version, atoiErr := strconv.Atoi(text)
+	if atoiErr != nil {
 		return 0, p.fail(SyntaxInMessage, "version %.10q", text)
 	}
 	return version, nil
@@ -217,8 +217,8 @@
 		c.Descriptors = append(c.Descriptors, n)
 		return nil
 	}
-	code, bad := strconv.Atoi(n.Value)
-	if bad != nil {
+	code, atoiErr := strconv.Atoi(n.Value)
+	if atoiErr != nil {
 		return p.fail(SyntaxInCommand, "error code %.20q", n.Value)
 	}
 	c.Err = &Error{Code: code}
--- a/internal/codec/h248/parser_test.go
+++ b/internal/codec/h248/parser_test.go
@@ -9,8 +9,8 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a framer.
-const maxPieceSize = 50
+// maxChunkSize is the maximum size in bytes of the chunks that tests pass to a framer.
+const maxChunkSize = 50
 
 // longForm is a message of four transactions with long tokens, white space and a comment.
 const longForm = `MEGACO/1 [10.0.0.4]:2944 ; a panel
@@ -99,10 +99,10 @@
 }
 
 // readFrames passes chunks to a new framer and returns the messages that it delivers.
-func readFrames(pieces ...[]byte) (texts []string, err error) {
+func readFrames(chunks ...[]byte) (texts []string, err error) {
 	var f Framer
-	for _, piece := range pieces {
-		err = f.Feed(piece, func(text []byte) bool {
+	for _, chunk := range chunks {
+		err = f.Feed(chunk, func(text []byte) bool {
 			texts = append(texts, string(text))
 			return true
 		})
@@ -116,7 +116,7 @@
 func TestFramerWithRandomPieces(t *testing.T) {
 	stream := encodeFrames(t, shortForm, shortForm, shortForm)
 	for seed := range uint64(200) {
-		got, err := readFrames(testutil.SplitRandomly(seed, stream, maxPieceSize)...)
+		got, err := readFrames(testutil.SplitRandomly(seed, stream, maxChunkSize)...)
 		if err != nil || len(got) != 3 || !reflect.DeepEqual(mustParse(t, got[0]), mustParse(t, shortForm)) {
 			t.Fatalf("seed %d: %q, %v", seed, got, err)
 		}
@@ -148,7 +148,7 @@
 			}
 		}
 		texts, err := readFrames(text)
-		split, splitErr := readFrames(testutil.SplitRandomly(seed, text, maxPieceSize)...)
+		split, splitErr := readFrames(testutil.SplitRandomly(seed, text, maxChunkSize)...)
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(texts, split) {
 			t.Errorf("in one chunk: %q, error %v; in several: %q, error %v", texts, err, split, splitErr)
 		}
--- a/internal/codec/h248/tpkt.go
+++ b/internal/codec/h248/tpkt.go
@@ -28,8 +28,8 @@
 
 // Feed processes a chunk and calls handle with the text of each message that it completes, until handle returns false.
 // The text is valid only during the call. After an error the framer must not be used again.
-func (f *Framer) Feed(piece []byte, handle func(text []byte) bool) error {
-	f.buffer = append(f.buffer, piece...)
+func (f *Framer) Feed(chunk []byte, handle func(text []byte) bool) error {
+	f.buffer = append(f.buffer, chunk...)
 	// The copy releases the memory of the consumed messages.
 	defer func() { f.buffer = slices.Clone(f.buffer) }()
 	for {
--- a/internal/codec/h248/transaction/store.go
+++ b/internal/codec/h248/transaction/store.go
@@ -23,15 +23,15 @@
 // the connection on which the transaction was received.
 type Store struct {
 	entries    map[string]*Entry
-	expiredAt  time.Duration // when expired entries were last dropped
+	lastExpiry time.Duration // when expired entries were last dropped
 	maxEntries int           // new transactions are refused beyond this number, or beyond the limit on replyBytes
 	replyBytes int
 }
 
-// An Entry is a received transaction. Its time is that of the receipt, or of the reply once there is one.
+// An Entry is a received transaction. updatedAt is when it was received or, later, when its reply was stored.
 type Entry struct {
-	reply []byte // nil while the transaction is running
-	at    time.Duration
+	reply     []byte // nil while the transaction is running
+	updatedAt time.Duration
 }
 
 // Reply returns the framed reply, or nil while the transaction is running.
@@ -64,19 +64,19 @@
 	if len(s.entries) >= s.maxEntries || s.replyBytes >= s.maxEntries*replyBytesPerEntry {
 		return nil, false
 	}
-	e = &Entry{at: now}
+	e = &Entry{updatedAt: now}
 	s.entries[k] = e
 	return e, true
 }
 
 // expire drops replies older than LongTimer. It scans the store at most once per expiryInterval.
 func (s *Store) expire(now time.Duration) {
-	if now-s.expiredAt <= expiryInterval {
+	if now-s.lastExpiry <= expiryInterval {
 		return
 	}
-	s.expiredAt = now
+	s.lastExpiry = now
 	for k, e := range s.entries {
-		if e.reply != nil && now-e.at > LongTimer {
+		if e.reply != nil && now-e.updatedAt > LongTimer {
 			s.drop(k, e)
 		}
 	}
@@ -86,7 +86,7 @@
 func (s *Store) Complete(e *Entry, reply []byte, now time.Duration) {
 	s.replyBytes += len(reply)
 	e.reply = reply
-	e.at = now
+	e.updatedAt = now
 }
 
 func (s *Store) drop(k string, e *Entry) {
--- a/internal/codec/jsonl/reader.go
+++ b/internal/codec/jsonl/reader.go
@@ -18,17 +18,17 @@
 
 // Feed processes a chunk and calls handle for each line that it completes, until handle returns false. Empty lines are
 // ignored. After an error, or once handle has returned false, the reader must not be used again.
-func (r *Reader) Feed(piece []byte, handle func(*Message) bool) error {
-	for len(piece) > 0 {
-		end := bytes.IndexByte(piece, '\n')
+func (r *Reader) Feed(chunk []byte, handle func(*Message) bool) error {
+	for len(chunk) > 0 {
+		end := bytes.IndexByte(chunk, '\n')
 		if end < 0 {
-			return r.buffer(piece)
+			return r.buffer(chunk)
 		}
 		if len(r.partial)+end+1 > MaxMessageSize {
 			return ErrTooLong
 		}
-		line := r.completeLine(piece[:end])
-		piece = piece[end+1:]
+		line := r.completeLine(chunk[:end])
+		chunk = chunk[end+1:]
 		if len(line) == 0 {
 			continue
 		}
@@ -45,11 +45,11 @@
 
 // buffer stores a chunk without a line feed. It fails as soon as the line exceeds MaxMessageSize, without waiting for
 // its end.
-func (r *Reader) buffer(piece []byte) error {
-	if len(r.partial)+len(piece) >= MaxMessageSize {
+func (r *Reader) buffer(chunk []byte) error {
+	if len(r.partial)+len(chunk) >= MaxMessageSize {
 		return ErrTooLong
 	}
-	r.partial = append(r.partial, piece...)
+	r.partial = append(r.partial, chunk...)
 	return nil
 }
 
--- a/internal/codec/jsonl/reader_test.go
+++ b/internal/codec/jsonl/reader_test.go
@@ -10,8 +10,8 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a reader.
-const maxPieceSize = 40
+// maxChunkSize is the maximum size in bytes of the chunks that tests pass to a reader.
+const maxChunkSize = 40
 
 var samples = []*Message{
 	{Verb: Start, Tag: "9b1f03aa5c7e2d41", Options: []Option{{"class", "voice"}, {"left", "1500"}},
@@ -21,9 +21,9 @@
 }
 
 // readAll passes chunks to a new reader and returns the messages that it delivers.
-func readAll(pieces ...[]byte) ([]*Message, error) {
+func readAll(chunks ...[]byte) ([]*Message, error) {
 	var r Reader
-	return testutil.FeedAll(r.Feed, pieces...)
+	return testutil.FeedAll(r.Feed, chunks...)
 }
 
 func TestReaderWithRandomPieces(t *testing.T) {
@@ -32,7 +32,7 @@
 		text = Append(text, m)
 	}
 	for seed := range uint64(200) {
-		got, err := readAll(testutil.SplitRandomly(seed, text, maxPieceSize)...)
+		got, err := readAll(testutil.SplitRandomly(seed, text, maxChunkSize)...)
 		if err != nil || len(got) != len(samples) {
 			t.Fatalf("seed %d: %d messages, error %v", seed, len(got), err)
 		}
@@ -83,7 +83,7 @@
 	f.Add([]byte(`{"verb":"X","n":[[{"a":1e5}]],"opts":{"left":1.5}}`+"\n"), uint64(2))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		messages, err := readAll(text)
-		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxPieceSize)...)
+		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxChunkSize)...)
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(messages, split) {
 			t.Errorf("in one chunk: %d messages, error %v; in several: %d messages, error %v",
 				len(messages), err, len(split), splitErr)
--- a/internal/codec/sip/reader.go
+++ b/internal/codec/sip/reader.go
@@ -32,8 +32,8 @@
 
 // Feed processes a chunk and calls handle for each message that it completes, until handle returns false. handle may
 // keep the message. After an error the reader must not be used again.
-func (r *Reader) Feed(piece []byte, handle func(*Message) bool) error {
-	r.buffer = append(r.buffer, piece...)
+func (r *Reader) Feed(chunk []byte, handle func(*Message) bool) error {
+	r.buffer = append(r.buffer, chunk...)
 	// The copy releases the memory of the consumed messages.
 	defer func() { r.buffer = slices.Clone(r.buffer) }()
 	for {
@@ -117,11 +117,11 @@
 	if methodLength == len(b) {
 		return true
 	}
-	isRequest := methodLength > 0 && agreesWith(b[methodLength:], " sip:")
-	return isRequest || agreesWith(b, protocolVersion+" ")
+	isRequest := methodLength > 0 && prefixesMatch(b[methodLength:], " sip:")
+	return isRequest || prefixesMatch(b, protocolVersion+" ")
 }
 
-// agreesWith reports whether one of b and text is a prefix of the other.
-func agreesWith(b []byte, text string) bool {
+// prefixesMatch reports whether one of b and text is a prefix of the other.
+func prefixesMatch(b []byte, text string) bool {
 	return strings.HasPrefix(text, string(b[:min(len(b), len(text))]))
 }
--- a/internal/codec/sip/reader_test.go
+++ b/internal/codec/sip/reader_test.go
@@ -10,8 +10,8 @@
 	"olivedale/internal/testutil"
 )
 
-// maxPieceSize is the maximum size in bytes of the chunks that tests pass to a reader.
-const maxPieceSize = 60
+// maxChunkSize is the maximum size in bytes of the chunks that tests pass to a reader.
+const maxChunkSize = 60
 
 // compactBye is a BYE with compact header names, a folded line and two Reason header fields.
 const compactBye = "BYE sip:7f3a@net SIP/2.0\r\ni: x\r\nCSeq:  3 BYE\r\n" +
@@ -31,14 +31,14 @@
 }
 
 // readAll passes chunks to a new reader and returns the messages that it delivers.
-func readAll(pieces ...[]byte) ([]*Message, error) {
+func readAll(chunks ...[]byte) ([]*Message, error) {
 	var r Reader
-	return testutil.FeedAll(r.Feed, pieces...)
+	return testutil.FeedAll(r.Feed, chunks...)
 }
 
 func TestReaderWithRandomPieces(t *testing.T) {
 	for seed := range uint64(200) {
-		got, err := readAll(testutil.SplitRandomly(seed, sampleStream(), maxPieceSize)...)
+		got, err := readAll(testutil.SplitRandomly(seed, sampleStream(), maxChunkSize)...)
 		if err != nil || len(got) != 3 {
 			t.Fatalf("seed %d: %d messages, %v", seed, len(got), err)
 		}
@@ -98,7 +98,7 @@
 	f.Add([]byte("SIP/2.0 200\r\nCall-ID: x\r\nCSeq: 1 A\r\nContent-Length: 1\r\n\r\n"), uint64(2))
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		messages, err := readAll(text)
-		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxPieceSize)...)
+		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxChunkSize)...)
 		if errors.Is(err, ErrLength) {
 			return // in several chunks, a message may be delivered before the data after it is checked
 		}
