--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -55,7 +55,7 @@
 		return b
 	})
 	if err != nil {
-		c.set.Counters.Unsayable++
+		c.set.Counters.UnencodableSetups++
 		c.endAttempt(s, call.NotSent)
 		return
 	}
--- a/internal/backend/set.go
+++ b/internal/backend/set.go
@@ -28,7 +28,7 @@
 // Counters counts events on the connections to all exchanges.
 type Counters struct {
 	Invites           int // set-ups sent
-	Unsayable         int // set-ups that the exchange's protocol cannot encode
+	UnencodableSetups int // set-ups that the exchange's protocol cannot encode
 	Dials             int
 	DialsFailed       int
 	Probes            int // connections opened to check whether an exchange is reachable
