--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -42,8 +42,8 @@
 	d.redialAt = now + d.redialDelay
 }
 
-// A Dialing is the context of a socket to an exchange until gnet reports the socket as open.
-type Dialing interface {
+// A OpenHandler is the context of a socket to an exchange until gnet reports the socket as open.
+type OpenHandler interface {
 	// HandleOpen accepts the opened socket and sets its context to the socket's owner. It returns false if the socket
 	// is no longer needed and must be closed.
 	HandleOpen(socket gnet.Conn) bool
@@ -58,8 +58,8 @@
 }
 
 var (
-	_ Dialing     = (*Dialed)(nil)
-	_ Dialing     = (*Probe)(nil)
+	_ OpenHandler = (*Dialed)(nil)
+	_ OpenHandler = (*Probe)(nil)
 	_ SocketOwner = (*Conn)(nil)
 	_ SocketOwner = (*Probe)(nil)
 )
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -30,7 +30,7 @@
 	switch owner := socket.Context().(type) {
 	case discoverySocket: // gnet also calls OnOpen for connected datagram sockets
 		return s.discovery.handleOpen(owner.serial, socket)
-	case backend.Dialing:
+	case backend.OpenHandler:
 		return owner.HandleOpen(socket)
 	case listenerKind:
 		return s.acceptClient(owner, socket)
