--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -58,21 +58,21 @@
 }
 
 var (
-	_ OpenHandler = (*Dialed)(nil)
+	_ OpenHandler = (*PendingDial)(nil)
 	_ OpenHandler = (*Probe)(nil)
 	_ SocketOwner = (*Conn)(nil)
 	_ SocketOwner = (*Probe)(nil)
 )
 
-// A Dialed is the context of the socket of a regular dial until gnet reports the socket as open.
-type Dialed struct {
+// A PendingDial is the context of the socket of a regular dial until gnet reports the socket as open.
+type PendingDial struct {
 	conn      *Conn
 	serial    int
 	startedAt time.Duration
 }
 
 // HandleOpen hands the opened socket to the Conn. It returns false if the socket must be closed.
-func (d *Dialed) HandleOpen(socket gnet.Conn) bool { return d.conn.onConnected(d.serial, socket) }
+func (d *PendingDial) HandleOpen(socket gnet.Conn) bool { return d.conn.onConnected(d.serial, socket) }
 
 // DialSerial returns the serial number of the latest dial; starting or cancelling a dial increments it.
 func (c *Conn) DialSerial() int { return c.dialing.serial }
@@ -100,11 +100,11 @@
 	c.set.Counters.Dials++
 	now := loop.Now()
 	c.detector.RecordProbe(now)
-	go c.dialAddress(c.address, &Dialed{conn: c, serial: c.dialing.serial, startedAt: now})
+	go c.dialAddress(c.address, &PendingDial{conn: c, serial: c.dialing.serial, startedAt: now})
 }
 
 // dialAddress dials and hands the socket or the error to the event loop. It runs outside the event loop.
-func (c *Conn) dialAddress(address string, dialed *Dialed) {
+func (c *Conn) dialAddress(address string, dialed *PendingDial) {
 	loop := c.set.loop
 	socket, err := c.set.dial(address, c.set.dialTimeout)
 	if err == nil {
@@ -143,7 +143,7 @@
 }
 
 // onDialFailed ends the queued attempts and schedules the next dial.
-func (c *Conn) onDialFailed(dialed *Dialed, err error) {
+func (c *Conn) onDialFailed(dialed *PendingDial, err error) {
 	if dialed.serial != c.dialing.serial || !c.dialing.isDialing {
 		return
 	}
