--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -81,8 +81,8 @@
 // Connection returns the current connection, or nil while the exchange is disconnected.
 func (c *Conn) Connection() *eventloop.Conn { return c.conn }
 
-// RememberedCalls returns the number of calls for which the protocol keeps state.
-func (c *Conn) RememberedCalls() int { return c.protocol.trackedCalls() }
+// TrackedCalls returns the number of calls for which the protocol keeps state.
+func (c *Conn) TrackedCalls() int { return c.protocol.trackedCalls() }
 
 // write appends to the output of the current connection. It does nothing while disconnected.
 func (c *Conn) write(write func([]byte) []byte) {
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -121,7 +121,7 @@
 		bed.server.backends.Get("s-0").Tick(bed.server.loop.Now() + time.Hour)
 		bed.deliver(0, sipResponse(established, "INVITE", 200, 1, "d"))
 		bed.deliver(0, sipResponse(refused, "INVITE", 200, 1, "e"))
-		if n := bed.server.backends.Get("s-0").RememberedCalls(); n != 0 {
+		if n := bed.server.backends.Get("s-0").TrackedCalls(); n != 0 {
 			t.Errorf("%d dialogs remain, want none", n)
 		}
 	})
--- a/internal/server/releases_test.go
+++ b/internal/server/releases_test.go
@@ -224,8 +224,8 @@
 			k.Conn().DiscardPendingOutput() // not read in this test
 			bed.server.backends.Get("s-0").Connection().DiscardPendingOutput()
 		}
-		if l := bed.server.backends.Get("s-0"); l.PendingReleases() > limit || bed.server.frontends.json.QueuedReleases() > 4*limit || l.RememberedCalls() > 16 {
-			t.Errorf("%d releases to the exchange, %d to callers and %d dialogs are kept", l.PendingReleases(), bed.server.frontends.json.QueuedReleases(), l.RememberedCalls())
+		if l := bed.server.backends.Get("s-0"); l.PendingReleases() > limit || bed.server.frontends.json.QueuedReleases() > 4*limit || l.TrackedCalls() > 16 {
+			t.Errorf("%d releases to the exchange, %d to callers and %d dialogs are kept", l.PendingReleases(), bed.server.frontends.json.QueuedReleases(), l.TrackedCalls())
 		}
 	})
 	exchange.send(sipRelease(established, 16))
