--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -195,7 +195,7 @@
 // update applies an endpoint update of a known exchange.
 func (c *Conn) update(e config.Endpoint) {
 	if c.address != e.Address {
-		c.Move(e.Address)
+		c.ChangeAddress(e.Address)
 	}
 	c.isDraining = e.Phase == config.PhaseTerminating
 	if c.isDraining {
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -180,9 +180,9 @@
 	return false
 }
 
-// Move changes the exchange's address. It first processes the data already received from the old address, so that a
+// ChangeAddress changes the exchange's address. It first processes the data already received from the old address, so that a
 // call established there is not attempted again.
-func (c *Conn) Move(address string) {
+func (c *Conn) ChangeAddress(address string) {
 	if c.conn != nil {
 		c.conn.ReadPending(c.HandleData)
 	}
--- a/internal/server/backends_test.go
+++ b/internal/server/backends_test.go
@@ -216,7 +216,7 @@
 				}
 				_, _ = c.Write(answer)
 				if how == "moved" {
-					l.Move(second.addr())
+					l.ChangeAddress(second.addr())
 				} else {
 					l.CheckResponsiveness(now)
 				}
