--- a/internal/frontend/gateway/command.go
+++ b/internal/frontend/gateway/command.go
@@ -87,7 +87,7 @@
 // modify handles a command on the number table, or a clock exchange.
 func (g *Gateway) modify(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	if g.isAdmin && c.Termination == adminapi.NumberingTermination {
-		return g.frontend.admin.OrderNumbering(c)
+		return g.frontend.admin.HandleNumberingCommand(c)
 	}
 	return g.exchangeClocks(c)
 }
--- a/internal/frontend/gateway/frontend.go
+++ b/internal/frontend/gateway/frontend.go
@@ -31,8 +31,8 @@
 	AuditNumbering() (nodes []*h248.Node, ok bool)
 	// AuditOverload returns the state of the shared overload control; ok is false if it is disabled.
 	AuditOverload() (nodes []*h248.Node, ok bool)
-	// OrderNumbering starts an operator's command on the number table.
-	OrderNumbering(c *h248.Command) ([]*h248.Node, *h248.Error)
+	// HandleNumberingCommand starts an operator's command on the number table.
+	HandleNumberingCommand(c *h248.Command) ([]*h248.Node, *h248.Error)
 	// RecordClock records the timestamps of a clock exchange with a peer.
 	RecordClock(peer string, stamps [4]int64)
 	// BeginShutdown starts a graceful shutdown.
--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -21,9 +21,9 @@
 	a.server.recorder.recordClockStamps(peer, stamps)
 }
 
-// OrderNumbering implements gateway.Administrator. The reply carries the job of the command; its result is reported by
+// HandleNumberingCommand implements gateway.Administrator. The reply carries the job of the command; its result is reported by
 // a later audit.
-func (a *administrator) OrderNumbering(c *h248.Command) ([]*h248.Node, *h248.Error) {
+func (a *administrator) HandleNumberingCommand(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	router := a.server.numbering
 	if router == nil {
 		return nil, &h248.Error{Code: h248.UnknownTermination, Text: "no section [numbers]"}
