--- a/internal/codec/sip/reader.go
+++ b/internal/codec/sip/reader.go
@@ -11,8 +11,8 @@
 // ErrTooLong is returned for a message that is longer than MaxMessageSize.
 var ErrTooLong = errors.New("sip: a message is longer than 16 KiB")
 
-// ErrLength is returned if the data after a body cannot be the start of a message, so that Content-Length is wrong.
-var ErrLength = errors.New("sip: no message begins after the body")
+// ErrContentLength is returned if the data after a body cannot be the start of a message, so that Content-Length is wrong.
+var ErrContentLength = errors.New("sip: no message begins after the body")
 
 var (
 	lineEnd = []byte("\r\n")
@@ -58,7 +58,7 @@
 		return nil, nil
 	}
 	if !mayBeginMessage(r.buffer[r.bodyLength:]) {
-		return nil, ErrLength
+		return nil, ErrContentLength
 	}
 	m := r.head
 	m.Body = bytes.Clone(r.buffer[:r.bodyLength])
--- a/internal/codec/sip/reader_test.go
+++ b/internal/codec/sip/reader_test.go
@@ -70,7 +70,7 @@
 	tooShort := "SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 4\r\n\r\nv=0\r\nc=IN IP4 10.1.1.1\r\n"
 	for _, length := range []int{0, 4, 11, 13, 16} { // each is shorter than the actual body
 		text := strings.Replace(tooShort, ": 4", fmt.Sprint(": ", length), 1)
-		if got, err := readAll([]byte(text)); !errors.Is(err, ErrLength) || len(got) > 0 {
+		if got, err := readAll([]byte(text)); !errors.Is(err, ErrContentLength) || len(got) > 0 {
 			t.Errorf("Content-Length %d: got error %v, want ErrLength and no message", length, err)
 		}
 	}
@@ -99,7 +99,7 @@
 	f.Fuzz(func(t *testing.T, text []byte, seed uint64) {
 		messages, err := readAll(text)
 		split, splitErr := readAll(testutil.SplitRandomly(seed, text, maxChunkSize)...)
-		if errors.Is(err, ErrLength) {
+		if errors.Is(err, ErrContentLength) {
 			return // in several chunks, a message may be delivered before the data after it is checked
 		}
 		if (err == nil) != (splitErr == nil) || !reflect.DeepEqual(messages, split) {
