--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -42,7 +42,7 @@
 	d.redialAt = now + d.redialDelay
 }
 
-// A OpenHandler is the context of a socket to an exchange until gnet reports the socket as open.
+// An OpenHandler is the context of a socket to an exchange until gnet reports the socket as open.
 type OpenHandler interface {
 	// HandleOpen accepts the opened socket and sets its context to the socket's owner. It returns false if the socket
 	// is no longer needed and must be closed.
@@ -104,16 +104,16 @@
 }
 
 // dialAddress dials and hands the socket or the error to the event loop. It runs outside the event loop.
-func (c *Conn) dialAddress(address string, dialed *PendingDial) {
+func (c *Conn) dialAddress(address string, dial *PendingDial) {
 	loop := c.set.loop
 	socket, err := c.set.dial(address, c.set.dialTimeout)
 	if err == nil {
-		if err = loop.Enroll(socket, dialed); err == nil {
+		if err = loop.Enroll(socket, dial); err == nil {
 			return // OnOpen follows
 		}
 		_ = socket.Close()
 	}
-	loop.ExecuteIteration(func() { c.onDialFailed(dialed, err) })
+	loop.ExecuteIteration(func() { c.onDialFailed(dial, err) })
 }
 
 // onConnected accepts the socket of a dial. It returns false if the dial is obsolete and the socket must be closed.
@@ -143,14 +143,14 @@
 }
 
 // onDialFailed ends the queued attempts and schedules the next dial.
-func (c *Conn) onDialFailed(dialed *PendingDial, err error) {
-	if dialed.serial != c.dialing.serial || !c.dialing.isDialing {
+func (c *Conn) onDialFailed(dial *PendingDial, err error) {
+	if dial.serial != c.dialing.serial || !c.dialing.isDialing {
 		return
 	}
 	c.dialing.isDialing = false
 	c.set.Counters.DialsFailed++
 	c.failQueue(attemptEndOfDialError(err))
-	c.recordFailedConnection(dialed.startedAt, c.set.dialTimeout, err)
+	c.recordFailedConnection(dial.startedAt, c.set.dialTimeout, err)
 	c.dialing.backOff(c.set.loop.Now())
 }
 
--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/frontend"
 )
 
-// The gnet context of a socket identifies its owner: a discoverySocket; a backend.Dialing until the socket is opened
+// The gnet context of a socket identifies its owner: a discoverySocket; a backend.OpenHandler until the socket is opened
 // and a backend.SocketOwner afterwards; or a listenerKind until the socket is opened and a frontend.Connection
 // afterwards.
 
