--- a/internal/codec/sip/reader_test.go
+++ b/internal/codec/sip/reader_test.go
@@ -71,7 +71,7 @@
 	for _, length := range []int{0, 4, 11, 13, 16} { // each is shorter than the actual body
 		text := strings.Replace(tooShort, ": 4", fmt.Sprint(": ", length), 1)
 		if got, err := readAll([]byte(text)); !errors.Is(err, ErrContentLength) || len(got) > 0 {
-			t.Errorf("Content-Length %d: got error %v, want ErrLength and no message", length, err)
+			t.Errorf("Content-Length %d: got error %v, want ErrContentLength and no message", length, err)
 		}
 	}
 	tooLong := head + "Call-ID: x\r\nCSeq: 1 BYE\r\nContent-Length: 16384\r\n\r\n"
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestClean(t *testing.T) {
+func TestIsSafeValue(t *testing.T) {
 	tests := map[string]bool{
 		"resident-call": true, "7f3a": true, "": false, "a\r\nX: y": false, "a b": false, "a@b": false,
 	}
