--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -180,8 +180,8 @@
 	return false
 }
 
-// ChangeAddress changes the exchange's address. It first processes the data already received from the old address, so that a
-// call established there is not attempted again.
+// ChangeAddress changes the exchange's address. It first processes the data already received from the old address, so
+// that a call established there is not attempted again.
 func (c *Conn) ChangeAddress(address string) {
 	if c.conn != nil {
 		c.conn.ReadPending(c.HandleData)
--- a/internal/codec/sip/reader.go
+++ b/internal/codec/sip/reader.go
@@ -11,7 +11,8 @@
 // ErrTooLong is returned for a message that is longer than MaxMessageSize.
 var ErrTooLong = errors.New("sip: a message is longer than 16 KiB")
 
-// ErrContentLength is returned if the data after a body cannot be the start of a message, so that Content-Length is wrong.
+// ErrContentLength is returned if the data after a body cannot be the start of a message, so that Content-Length is
+// wrong.
 var ErrContentLength = errors.New("sip: no message begins after the body")
 
 var (
--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -21,8 +21,8 @@
 	a.server.recorder.recordClockStamps(peer, stamps)
 }
 
-// HandleNumberingCommand implements gateway.Administrator. The reply carries the job of the command; its result is reported by
-// a later audit.
+// HandleNumberingCommand implements gateway.Administrator. The reply carries the job of the command; its result is
+// reported by a later audit.
 func (a *administrator) HandleNumberingCommand(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	router := a.server.numbering
 	if router == nil {
