--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// flushQueue sends the queued set-ups if the exchange is connected; otherwise they stay queued until the next dial.
+// flushQueue sends the queued set-ups if the exchange is connected; otherwise they stay queued for the pending dial.
 func (c *Conn) flushQueue() {
 	if c.conn == nil {
 		return
--- a/internal/backend/loss.go
+++ b/internal/backend/loss.go
@@ -13,7 +13,7 @@
 const (
 	lossRemoved      lossReason = "removed"        // the discovery service no longer lists the exchange
 	lossRestarted    lossReason = "restarted"      // the discovery service lists a later start time
-	lossRefused      lossReason = "refused"        // refused to connect after a lost connection or an outage
+	lossRefused      lossReason = "refused"        // connection refused after a lost connection or an outage
 	lossUnreachable  lossReason = "unreachable"    // no sign of life for reachability.MaxSilence
 	lossAddressTaken lossReason = "address_taken"  // another exchange uses the address
 	lossOutOfService lossReason = "out_of_service" // reported by the exchange itself
--- a/internal/backend/probe.go
+++ b/internal/backend/probe.go
@@ -33,7 +33,7 @@
 	isClosing bool // the sending side is closed
 }
 
-// startProbe dials a probe on a separate goroutine, unless a limit on probes is reached.
+// startProbe dials a probe on a separate goroutine, unless a limit on probes is reached or the address was taken over.
 func (c *Conn) startProbe(now time.Duration) {
 	isLimitReached := len(c.probes) >= maxProbesPerExchange || c.set.openProbes >= c.set.maxProbes
 	if isLimitReached || !c.set.loop.IsAttached() || c.isAddressTakenOver() {
