--- a/internal/server/handler.go
+++ b/internal/server/handler.go
@@ -7,8 +7,8 @@
 	"olivedale/internal/frontend"
 )
 
-// The gnet context of a socket identifies its owner: a discoverySocket; a backend.OpenHandler until the socket is opened
-// and a backend.SocketOwner afterwards; or a listenerKind until the socket is opened and a frontend.Connection
+// The gnet context of a socket identifies its owner: a discoverySocket; a backend.OpenHandler until the socket is
+// opened and a backend.SocketOwner afterwards; or a listenerKind until the socket is opened and a frontend.Connection
 // afterwards.
 
 // OnOpen implements gnet.EventHandler.
