--- a/internal/record/codes.go
+++ b/internal/record/codes.go
@@ -1,80 +1,80 @@
 package record
 
-// A Decision is the Code of a KindOrder record: the decision of the admission engine on a call
-// (admission.DecisionKind). Moves are stored by number.
+// A Decision is the Code of a KindDecision record: what the admission engine decided for a call
+// (admission.DecisionKind). Decisions are stored by number.
 type Decision uint8
 
-// The moves, with the term that the admission engine uses.
+// The decisions, one for each admission.DecisionKind.
 const (
-	DecisionNone   Decision = iota // admission.None
-	DecisionSend                   // admission.Send
-	DecisionReject                 // admission.Reject
-	DecisionFail                   // admission.Fail
-	DecisionCancel                 // admission.Cancel
+	DecisionNone   Decision = iota // no action now; the call stays open
+	DecisionSend                   // start an attempt
+	DecisionReject                 // reject the call
+	DecisionFail                   // fail the call
+	DecisionCancel                 // cancel the open attempt
 )
 
-// String implements fmt.Stringer by the stored name.
-func (m Decision) String() string { return storedName(moveNames, m) }
+// String returns the stored name.
+func (d Decision) String() string { return storedName(decisionNames, d) }
 
-// An Outcome is the Code of a KindAnswer record: how a call came to its final answer (call.Outcome). Outcomes are
-// stored by number.
+// An Outcome is the Code of a KindAnswer record: the result of a call as given in its final answer
+// (call.Outcome). Outcomes are stored by number.
 type Outcome uint8
 
 // The outcomes. The admission engine decides OutcomeRejected and OutcomeFailed. OutcomeOverLimit, OutcomeReusedID and
-// OutcomeInvalid are answered without it.
+// OutcomeInvalid are decided without it.
 const (
 	NoOutcome           Outcome = iota
 	OutcomeEstablished          // established
 	OutcomeRejected             // rejected by the admission engine
 	OutcomeFailed               // failed after attempts that may have run
 	OutcomeAbandoned            // abandoned by the caller
-	OutcomeOverLimit            // rejected over a limit
-	OutcomeReusedID             // rejected because the id is that of a completed call
-	OutcomeInvalid              // rejected because the offer is not valid
-	OutcomeShuttingDown         // rejected because the program shuts down
+	OutcomeOverLimit            // rejected because a limit was reached
+	OutcomeReusedID             // rejected because a completed call has the same id
+	OutcomeInvalid              // rejected because the set-up is invalid
+	OutcomeShuttingDown         // rejected because the program is shutting down
 	OutcomeByPolicy             // rejected by policy because of the called number
 )
 
-// OutcomeCount is the number of outcomes, for arrays that count by them.
+// OutcomeCount is the number of outcomes, for arrays indexed by Outcome.
 const OutcomeCount = int(OutcomeByPolicy) + 1
 
-// String implements fmt.Stringer by the stored name.
+// String returns the stored name.
 func (o Outcome) String() string { return storedName(outcomeNames, o) }
 
 // A ServerState is the Code of a KindServer record: the state of the server in the endpoint list
-// (admission.ServerState). Phases are stored by number.
+// (admission.ServerState). States are stored by number.
 type ServerState uint8
 
-// The phases.
+// The states of a server.
 const (
-	ServerActive   ServerState = iota // active
-	ServerDraining                    // draining
-	ServerRemoved                     // removed
+	ServerActive   ServerState = iota // may receive attempts
+	ServerDraining                    // completes its calls and receives no new ones
+	ServerRemoved                     // no longer in the endpoint list
 )
 
-// String implements fmt.Stringer by the stored name.
-func (p ServerState) String() string { return storedName(phaseNames, p) }
+// String returns the stored name.
+func (s ServerState) String() string { return storedName(serverStateNames, s) }
 
-// A GapCause is the Code of a KindGap record: why records are lost. Causes are stored by number.
+// A GapCause is the Code of a KindGap record: why records were lost. Causes are stored by number.
 type GapCause uint8
 
-// The causes of gaps. A Log writes those up to SetAside, a Reader detects the others.
+// The causes of gaps. A Log writes the causes up to SetAside; a Reader detects the others.
 const (
 	NoGap        GapCause = iota
-	QueueFull             // records came faster than the disk took them
-	DiskFull              // no space is left, or a quota is used up
+	QueueFull             // records arrived faster than they could be written
+	DiskFull              // no space left on the device, or quota exceeded
 	DiskReadOnly          // the file system is read-only
-	DiskFailed            // any other error of the disk
-	SetAside              // recovery set a damaged segment aside
+	DiskFailed            // any other I/O error
+	SetAside              // recovery renamed a damaged or unreadable segment
 	Missing               // a segment is missing
-	Damaged               // bytes are not an intact frame
+	Damaged               // part of a segment is not an intact frame
 	NewerFormat           // a segment has a newer format version
 )
 
-// String implements fmt.Stringer by the stored name.
+// String returns the stored name.
 func (g GapCause) String() string { return storedName(gapCauseNames, g) }
 
-// MarshalText implements encoding.TextMarshaler by the stored name.
+// MarshalText returns the stored name, as encoding.TextMarshaler.
 func (g GapCause) MarshalText() ([]byte, error) { return []byte(g.String()), nil }
 
 // CodeName returns the stored name of the record's Code, or "" where the kind has no codes.
--- a/internal/record/names.go
+++ b/internal/record/names.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// The stored names of kinds and codes. They are interfaces: text, JSON, reports and filters of `olivectl records` use
-// them. A constant may be renamed, its stored name may not.
+// The stored names of kinds and codes. They are part of the external interface: the text and JSON output, the reports
+// and the filters of `olivectl records` use them. A constant may be renamed, its stored name must not change.
 var (
 	kindNames = [kindCount]string{
 		KindNone:           "none",
@@ -25,7 +25,7 @@
 		KindNote:           "note",
 		KindCounter:        "tally",
 	}
-	moveNames = []string{
+	decisionNames = []string{
 		DecisionNone:   "hold",
 		DecisionSend:   "try",
 		DecisionReject: "deny",
@@ -44,7 +44,7 @@
 		OutcomeShuttingDown: "stopped",
 		OutcomeByPolicy:     "barred",
 	}
-	phaseNames = []string{
+	serverStateNames = []string{
 		ServerActive:   "listed",
 		ServerDraining: "drains",
 		ServerRemoved:  "gone",
@@ -62,7 +62,7 @@
 	}
 )
 
-// storedName returns the name of a code. A code that a newer program wrote is named by its number.
+// storedName returns the name of a code. An unknown code, written by a newer program, is named by its number.
 func storedName[Code ~uint8](names []string, code Code) string {
 	if int(code) < len(names) {
 		return names[code]
