--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -7,14 +7,14 @@
 
 func TestRecordIsDecodedAsEncoded(t *testing.T) {
 	full := Record{
-		Seq: 7, At: wall + 5, Kind: KindClock, Call: "c", Class: "voice", Number: "+56 2", Server: "s", Text: "\xff\n",
+		Seq: 7, At: testStart + 5, Kind: KindClock, Call: "c", Class: "voice", Number: "+56 2", Server: "s", Text: "\xff\n",
 		Attempt: -1, Code: 3, End: "cut", Cause: 41, Wait: 3, Took: 4, Pool: -1, Flag: true, Value: 1.5, Count: 9,
-		Since: wall, T: [4]int64{-1, 2, 3, 1 << 62}, By: "agent",
+		Since: testStart, T: [4]int64{-1, 2, 3, 1 << 62}, By: "agent",
 	}
-	gap := Record{Seq: 9, From: 3, At: wall + 6, Since: wall + 2, Kind: KindGap, Code: uint8(QueueFull)}
+	gap := Record{Seq: 9, From: 3, At: testStart + 6, Since: testStart + 2, Kind: KindGap, Code: uint8(QueueFull)}
 	for _, r := range []Record{full, gap} {
 		var got Record
-		err := decodeRecord(appendRecord(nil, &r, wall), &got, wall, internTable{})
+		err := decodeRecord(appendRecord(nil, &r, testStart), &got, testStart, internTable{})
 		if err != nil || got != r {
 			t.Errorf("got  %+v, %v\nwant %+v", got, err, r)
 		}
@@ -22,7 +22,7 @@
 	long := full
 	long.Text = strings.Repeat("x", 1<<16)
 	long.Number = strings.Repeat("y", 1<<16)
-	if n := len(appendRecord(nil, &long, wall)); n > maxPayloadSize {
+	if n := len(appendRecord(nil, &long, testStart)); n > maxPayloadSize {
 		t.Errorf("a record of %d bytes", n)
 	}
 }
@@ -37,7 +37,7 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	f.Add(appendRecord(nil, sampleRecord(3), wall))
+	f.Add(appendRecord(nil, sampleRecord(3), testStart))
 	f.Add([]byte{0x08, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var decoded, decodedAgain Record
--- a/internal/record/damage.go
+++ b/internal/record/damage.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// recordReturned ends the time in which a damage explains a gap.
-func (d *damageList) recordReturned() {
+// clearCause ends the time in which a damage explains a gap.
+func (d *damageList) clearCause() {
 	d.cause = NoGap
 	d.file = ""
 }
--- a/internal/record/fixture_test.go
+++ b/internal/record/fixture_test.go
@@ -13,8 +13,8 @@
 	"olivedale/internal/testutil"
 )
 
-// wall is the start of the program in tests.
-const wall = Time(1_700_000_000_000_000_000)
+// testStart is the start of the program in tests.
+const testStart = Time(1_700_000_000_000_000_000)
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
@@ -28,7 +28,7 @@
 		SyncInterval: 5 * time.Millisecond,
 		SegmentBytes: 4 << 10,
 		TotalBytes:   1 << 20,
-		StartTime:    wall,
+		StartTime:    testStart,
 	}
 }
 
@@ -52,7 +52,7 @@
 func sampleRecord(i int) *Record {
 	return &Record{
 		Kind:    Kind(int(KindCallOffered) + i%5),
-		At:      wall + Time(i)*time.Millisecond,
+		At:      testStart + Time(i)*time.Millisecond,
 		Call:    fmt.Sprintf("%016x", i),
 		Class:   "voice",
 		Server:  fmt.Sprint("s-", i%3),
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -18,9 +18,9 @@
 
 // Fixed numbers in place of those that a writer draws at random.
 const (
-	goldenStoreID   = 0x5707_0000_0000_0001
-	goldenFirstBoot = 0xb007_0000_0000_0001
-	goldenNonce     = 0x4053_0000_0000_0001
+	goldenStoreID    = 0x5707_0000_0000_0001
+	goldenFirstRunID = 0xb007_0000_0000_0001
+	goldenNonce      = 0x4053_0000_0000_0001
 )
 
 const (
@@ -28,13 +28,13 @@
 	goldenServer = "s-1"
 )
 
-// goldenStarts returns the records of two runs of one instance: all kinds, all codes of the kinds that have codes, and
+// goldenRuns returns the records of two runs of one instance: all kinds, all codes of the kinds that have codes, and
 // a kind and codes that a newer program may write.
-func goldenStarts() [][]Record {
+func goldenRuns() [][]Record {
 	var first []Record
 	add := func(records ...Record) {
 		for _, r := range records {
-			r.At = wall + Time(len(first))*1_234_567
+			r.At = testStart + Time(len(first))*1_234_567
 			first = append(first, r)
 		}
 	}
@@ -42,12 +42,12 @@
 	add(goldenCalls()...)
 	add(goldenMeasurements()...)
 	for code := range uint8(len(gapCauseNames) + 1) {
-		add(Record{Kind: KindGap, From: uint64(len(first) + 1), Since: wall + 1, Code: code, Text: "set aside"})
+		add(Record{Kind: KindGap, From: uint64(len(first) + 1), Since: testStart + 1, Code: code, Text: "set aside"})
 	}
 	add(Record{Kind: Kind(200), By: "a kind of a newer program"})
 	add(Record{Kind: KindStopping})
 	add(Record{Kind: KindEnd, Count: uint64(len(first) + 1)})
-	later := wall + 10*time.Second
+	later := testStart + 10*time.Second
 	second := []Record{
 		{Kind: KindStart, At: later, Flag: true, Text: fmt.Sprint("last record ", len(first))},
 		{Kind: KindEnd, At: later + time.Second, Count: 2},
@@ -62,10 +62,10 @@
 		{Kind: KindConfig, By: "cold", Wait: 30 * time.Second, Value: 0.25},
 		{Kind: KindConfig, By: "settings", Text: `{"groupSize":1}`},
 	}
-	for code := range uint8(len(phaseNames) + 1) {
+	for code := range uint8(len(serverStateNames) + 1) {
 		records = append(records, Record{
 			Kind: KindServer, Server: goldenServer, Code: code, Pool: int(code) - 1, Flag: code == 0,
-			Since: wall - time.Minute, Text: "127.0.0.1:9",
+			Since: testStart - time.Minute, Text: "127.0.0.1:9",
 		})
 	}
 	return records
@@ -79,7 +79,7 @@
 		},
 		{Kind: KindCallOffered, Call: "c-2", Class: "alarm", Number: "133\xff", Pool: 2, Flag: true},
 	}
-	for code := range uint8(len(moveNames) + 1) {
+	for code := range uint8(len(decisionNames) + 1) {
 		records = append(records, Record{
 			Kind: KindDecision, Call: goldenCall, Code: code, Server: goldenServer, Wait: 500 * time.Millisecond,
 			Text: "no_server",
@@ -109,8 +109,8 @@
 		{Kind: KindRateLimit, Server: goldenServer, Text: "pressed", Value: 12.5},
 		{Kind: KindRateLimit, Server: goldenServer, Text: "lapsed", Value: math.Inf(1)},
 		{Kind: KindLimitReached, By: "calls", Count: 3, Call: "c-3"},
-		{Kind: KindClock, By: "agent", T: [4]int64{int64(wall), int64(wall) + 2, -3, math.MaxInt64}},
-		{Kind: KindClock, T: [4]int64{int64(wall) + 5, int64(wall)}},
+		{Kind: KindClock, By: "agent", T: [4]int64{int64(testStart), int64(testStart) + 2, -3, math.MaxInt64}},
+		{Kind: KindClock, T: [4]int64{int64(testStart) + 5, int64(testStart)}},
 		{Kind: KindNote, Text: "a line with \"quotes\", \x1b[2J, \xff and é", Server: goldenServer},
 		{Kind: KindCounter, By: "requests", Count: math.MaxUint64},
 	}
@@ -119,7 +119,7 @@
 // The records are written as the bytes of the committed store.
 func TestGoldenStoreIsWrittenTheSame(t *testing.T) {
 	written, fixed := t.TempDir(), t.TempDir()
-	for i, records := range goldenStarts() {
+	for i, records := range goldenRuns() {
 		o := testOptions(written)
 		o.SegmentBytes = 1 << 10
 		o.StartTime = records[0].At
@@ -132,7 +132,7 @@
 		}
 		closeLog(t, l)
 	}
-	fixDrawnNumbers(t, written, fixed)
+	replaceRandomIDs(t, written, fixed)
 	goldentest.CompareDir(t, goldenStore, fixed)
 }
 
@@ -145,7 +145,7 @@
 	defer func() { _ = r.Close() }()
 	var asJSON, lines []byte
 	seq := uint64(0)
-	for _, records := range goldenStarts() {
+	for _, records := range goldenRuns() {
 		for _, want := range records {
 			seq++
 			want.Seq = seq
@@ -173,14 +173,14 @@
 	goldentest.CompareFile(t, filepath.Join("testdata", "golden", "records.txt"), lines)
 }
 
-// fixDrawnNumbers copies a store with fixed numbers in place of those that its writer drew at random.
-func fixDrawnNumbers(t *testing.T, from, to string) {
+// replaceRandomIDs copies a store with fixed numbers in place of those that its writer drew at random.
+func replaceRandomIDs(t *testing.T, from, to string) {
 	t.Helper()
 	all, err := listSegments(from)
 	if err != nil {
 		t.Fatal(err)
 	}
-	boots := make(map[uint64]uint64)
+	runIDs := make(map[uint64]uint64)
 	for i, s := range all {
 		raw, err := os.ReadFile(filepath.Join(from, s.name))
 		if err != nil {
@@ -190,16 +190,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if h.First != s.first || h.RunID != s.boot {
+		if h.First != s.first || h.RunID != s.runID {
 			t.Errorf("the header of %s is of first record %d and boot %x", s.name, h.First, h.RunID)
 		}
 		if !bytes.Equal(reframe(t, raw, &h), raw) {
 			t.Errorf("%s holds more than its header and its frames", s.name)
 		}
-		if _, ok := boots[h.RunID]; !ok {
-			boots[h.RunID] = goldenFirstBoot + uint64(len(boots))
+		if _, ok := runIDs[h.RunID]; !ok {
+			runIDs[h.RunID] = goldenFirstRunID + uint64(len(runIDs))
 		}
-		h.Store, h.RunID, h.Nonce = goldenStoreID, boots[h.RunID], goldenNonce+uint64(i)
+		h.Store, h.RunID, h.Nonce = goldenStoreID, runIDs[h.RunID], goldenNonce+uint64(i)
 		path := filepath.Join(to, segmentName(h.First, h.RunID, s.index))
 		if err := os.WriteFile(path, reframe(t, raw, &h), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/record/inspect.go
+++ b/internal/record/inspect.go
@@ -26,8 +26,8 @@
 // isEmpty reports whether the segment has a header and no record.
 func (t *segmentTail) isEmpty() bool { return t.headerErr == nil && t.lastSeq == 0 && !t.isDamaged }
 
-// endsInGoodOrder reports whether an orderly shutdown ended the segment.
-func (t *segmentTail) endsInGoodOrder() bool {
+// endsCleanly reports whether an orderly shutdown ended the segment.
+func (t *segmentTail) endsCleanly() bool {
 	return t.lastKind == KindEnd && t.tornBytes == 0 && !t.isDamaged
 }
 
--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -35,7 +35,7 @@
 type Log struct {
 	// Owned by the event loop.
 	nextSeq  uint64
-	accepted uint64 // records put since the start
+	putCount uint64 // records put since the start
 	lastTime Time   // time of the last record put
 	baseTime Time   // Options.Wall
 	dropped  droppedRange
@@ -114,7 +114,7 @@
 func (l *Log) Put(r *Record) {
 	r.Seq = l.nextSeq
 	l.nextSeq++
-	l.accepted++
+	l.putCount++
 	l.lastTime = r.At
 	hasRoom := l.dropped.isEmpty() || l.enqueueDroppedGap(r.Seq-1)
 	if !hasRoom || !l.enqueue(r) {
@@ -167,10 +167,10 @@
 func (l *Log) Written() uint64 { return l.shared.written.Load() }
 
 // Records returns how many records were put. Only the event loop may call it.
-func (l *Log) Records() uint64 { return l.accepted }
+func (l *Log) Records() uint64 { return l.putCount }
 
 // Failing returns why the disk fails at present, NoGap if it works.
-func (l *Log) Failing() GapCause { return l.shared.failing() }
+func (l *Log) Failing() GapCause { return l.shared.failureCause() }
 
 // Close writes the queued records and ends the writer. It waits at most timeout, so that a hanging disk does not
 // delay an orderly shutdown, and then returns ErrCloseTimeout. Put must not be called any more.
--- a/internal/record/log_test.go
+++ b/internal/record/log_test.go
@@ -30,7 +30,7 @@
 		appendTornFrame(t, dir)
 	}
 	l, found := openLog(t, testOptions(dir))
-	l.Put(&Record{Kind: KindEnd, At: wall})
+	l.Put(&Record{Kind: KindEnd, At: testStart})
 	want = append(want, fmt.Sprintf("%d end ", len(want)+1))
 	closeLog(t, l)
 	if got, _ := readAll(t, dir); !slices.Equal(got, want) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = f.Write(appendFrame(nil, appendRecord(nil, sampleRecord(1), wall), 1)[:20])
+	_, _ = f.Write(appendFrame(nil, appendRecord(nil, sampleRecord(1), testStart), 1)[:20])
 	_ = f.Close()
 }
 
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -84,7 +84,7 @@
 		if r.following != nil {
 			*rec = *r.following
 			r.following = nil
-			r.returned(rec)
+			r.setPosition(rec)
 			return nil
 		}
 		if r.file == nil {
@@ -99,7 +99,7 @@
 		if err != nil {
 			return err
 		}
-		if r.decode(&frame) && r.take(rec) {
+		if r.decode(&frame) && r.deliver(rec) {
 			return nil
 		}
 	}
@@ -165,9 +165,9 @@
 	return false
 }
 
-// take decides about r.decoded: it is returned, or returned after a gap where sequence numbers are missing, or
+// deliver decides about r.decoded: it is returned, or returned after a gap where sequence numbers are missing, or
 // ignored if it was returned before. It reports whether rec was set.
-func (r *Reader) take(rec *Record) bool {
+func (r *Reader) deliver(rec *Record) bool {
 	first := r.decoded.firstSeq()
 	switch {
 	case !r.position.isKnown:
@@ -186,7 +186,7 @@
 			rec.From = r.position.seq + 1
 		}
 	}
-	r.returned(rec)
+	r.setPosition(rec)
 	return true
 }
 
@@ -199,17 +199,17 @@
 		At:    r.decoded.At,
 		Since: r.position.at,
 	}
-	hasClockGoneBack := gap.Since > gap.At // between two runs
+	clockWentBack := gap.Since > gap.At // between two runs
 	isStartUnknown := gap.Since == 0
-	if hasClockGoneBack || isStartUnknown {
+	if clockWentBack || isStartUnknown {
 		gap.Since = gap.At
 	}
 	r.damages.explainGap(&gap, r.segment.name)
 	return gap
 }
 
-// returned notes the record that Next returns.
-func (r *Reader) returned(rec *Record) {
+// setPosition notes the record that Next returns.
+func (r *Reader) setPosition(rec *Record) {
 	r.position = readPosition{isKnown: true, seq: rec.Seq, at: rec.At}
-	r.damages.recordReturned()
+	r.damages.clearCause()
 }
--- a/internal/record/recover.go
+++ b/internal/record/recover.go
@@ -79,7 +79,7 @@
 	if r.store == 0 {
 		r.store = t.header.Store
 	}
-	if !t.endsInGoodOrder() {
+	if !t.endsCleanly() {
 		r.Clean = false
 	}
 	switch {
--- a/internal/record/ring.go
+++ b/internal/record/ring.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// lengthSize is the size in bytes of the length that precedes a payload in a ringQueue.
-const lengthSize = 2
+// lengthPrefixSize is the size in bytes of the length that precedes a payload in a ringQueue.
+const lengthPrefixSize = 2
 
 // A ringQueue is a lock-free queue of payloads in a ring buffer, from one producer, the event loop, to one consumer,
 // the writer. The producer advances appended, the consumer advances released, and each only reads the other's. A
@@ -37,14 +37,14 @@
 // append adds a payload and reports whether there was room for it. Only the producer calls it.
 func (q *ringQueue) append(payload []byte) bool {
 	position := q.appended.Load()
-	end := position + uint64(lengthSize+len(payload))
+	end := position + uint64(lengthPrefixSize+len(payload))
 	if end-q.released.Load() > q.size() {
 		return false
 	}
-	var length [lengthSize]byte
+	var length [lengthPrefixSize]byte
 	binary.LittleEndian.PutUint16(length[:], uint16(len(payload)))
 	q.copyIn(position, length[:])
-	q.copyIn(position+lengthSize, payload)
+	q.copyIn(position+lengthPrefixSize, payload)
 	q.appended.Store(end)
 	return true
 }
@@ -55,11 +55,11 @@
 	if position == q.appended.Load() {
 		return nil, position, false
 	}
-	var length [lengthSize]byte
+	var length [lengthPrefixSize]byte
 	q.copyOut(position, length[:])
 	payload = buffer[:binary.LittleEndian.Uint16(length[:])]
-	q.copyOut(position+lengthSize, payload)
-	return payload, position + lengthSize + uint64(len(payload)), true
+	q.copyOut(position+lengthPrefixSize, payload)
+	return payload, position + lengthPrefixSize + uint64(len(payload)), true
 }
 
 // copyIn copies b into the buffer from a position on, past its end if need be.
--- a/internal/record/scan_test.go
+++ b/internal/record/scan_test.go
@@ -8,9 +8,9 @@
 
 // Frames and the bytes skipped before them cover any file without a hole.
 func FuzzFrames(f *testing.F) {
-	b := appendHeader(nil, &Header{Name: "n0", Nonce: 5, StartTime: wall})
+	b := appendHeader(nil, &Header{Name: "n0", Nonce: 5, StartTime: testStart})
 	for i := range 5 {
-		b = appendFrame(b, appendRecord(nil, sampleRecord(i), wall), frameSeed(5))
+		b = appendFrame(b, appendRecord(nil, sampleRecord(i), testStart), frameSeed(5))
 	}
 	f.Add(b)
 	f.Add(b[:len(b)-3])
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -19,14 +19,14 @@
 type segment struct {
 	name       string
 	first      uint64 // first sequence number
-	boot       uint64 // Header.Boot
+	runID      uint64 // Header.Boot
 	index      uint64 // number within the run, from 0
 	isSetAside bool
 }
 
 // segmentName returns the name of a segment. Names sort in the order of the records.
-func segmentName(first, boot, index uint64) string {
-	return fmt.Sprintf("%020d-%016x-%06d%s", first, boot, index, segmentSuffix)
+func segmentName(first, runID, index uint64) string {
+	return fmt.Sprintf("%020d-%016x-%06d%s", first, runID, index, segmentSuffix)
 }
 
 // parseSegmentName parses a name made by segmentName, with or without setAsideSuffix.
@@ -38,17 +38,17 @@
 		return segment{}, false
 	}
 	first, firstErr := strconv.ParseUint(parts[0], 10, 64)
-	boot, bootErr := strconv.ParseUint(parts[1], 16, 64)
+	runID, runIDErr := strconv.ParseUint(parts[1], 16, 64)
 	index, indexErr := strconv.ParseUint(parts[2], 10, 64)
-	if errors.Join(firstErr, bootErr, indexErr) != nil {
+	if errors.Join(firstErr, runIDErr, indexErr) != nil {
 		return segment{}, false
 	}
-	return segment{name: name, first: first, boot: boot, index: index, isSetAside: isSetAside}, true
+	return segment{name: name, first: first, runID: runID, index: index, isSetAside: isSetAside}, true
 }
 
 // isSameAs reports whether both names are of the same segment, set aside or not.
 func (s segment) isSameAs(other segment) bool {
-	return s.first == other.first && s.boot == other.boot && s.index == other.index
+	return s.first == other.first && s.runID == other.runID && s.index == other.index
 }
 
 // listSegments returns the segments of a store in the order of their records.
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -107,7 +107,7 @@
 // reportHealth publishes the result of a commit and calls Options.Trouble when the disk begins or ceases to fail.
 func (w *writer) reportHealth(err error) {
 	cause := gapCauseOf(err)
-	previous := w.shared.setFailing(cause)
+	previous := w.shared.setFailureCause(cause)
 	hasChanged := (previous == NoGap) != (cause == NoGap)
 	if hasChanged && w.options.OnDiskHealth != nil {
 		w.options.OnDiskHealth(err)
--- a/internal/record/writerstate.go
+++ b/internal/record/writerstate.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// failing returns why the disk fails at present, NoGap if it works.
-func (s *writerState) failing() GapCause { return GapCause(s.failCause.Load()) }
+// failureCause returns why the disk fails at present, NoGap if it works.
+func (s *writerState) failureCause() GapCause { return GapCause(s.failCause.Load()) }
 
-// setFailing sets the cause and returns the previous one.
-func (s *writerState) setFailing(cause GapCause) GapCause {
+// setFailureCause sets the cause and returns the previous one.
+func (s *writerState) setFailureCause(cause GapCause) GapCause {
 	return GapCause(s.failCause.Swap(uint32(cause)))
 }
