--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// maxPayloadSize is the greatest size in bytes of an encoded record. maxStringSize keeps each record below it.
+// maxPayloadSize is the maximum size in bytes of an encoded record. maxStringSize ensures that no record exceeds it.
 const maxPayloadSize = 4096
 
 // Field numbers of message Record in record.proto.
@@ -40,11 +40,11 @@
 	fieldBy
 )
 
-// errMalformedRecord is returned for a payload that does not hold a record.
+// errMalformedRecord is returned for a payload that is not a valid record.
 var errMalformedRecord = errors.New("record: malformed record")
 
-// appendRecord encodes a record; its times are stored relative to base, the start of the program. It allocates
-// nothing if b has room.
+// appendRecord encodes a record; its times are stored relative to base, the start of the program. It does not
+// allocate if b has enough capacity.
 func appendRecord(b []byte, r *Record, base Time) []byte {
 	b = appendUint(b, fieldSeq, r.Seq)
 	b = appendUint(b, fieldFrom, r.From)
@@ -74,7 +74,7 @@
 	return appendString(b, fieldBy, r.By)
 }
 
-// storedSince returns Since as it is stored: relative to base for a gap, as Unix time for a server.
+// storedSince returns the stored form of Since: relative to base for a gap, Unix time for a server.
 func (r *Record) storedSince(base Time) Time {
 	if r.Kind == KindGap && r.Since != 0 {
 		return r.Since - base
@@ -83,7 +83,7 @@
 }
 
 // decodeRecord decodes a payload into r; stored times are relative to base. Unknown fields are ignored, so that an
-// older program reads the records of a newer one.
+// older program can read the records of a newer one.
 func decodeRecord(payload []byte, r *Record, base Time, interned internTable) error {
 	*r = Record{}
 	for len(payload) > 0 {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// setField sets the field of r that a decoded field holds.
+// setField sets the field of r that corresponds to a decoded field.
 func (r *Record) setField(field wireField, interned internTable) {
 	switch field.number {
 	case fieldSeq:
@@ -152,12 +152,12 @@
 		r.T[field.number-fieldT1] = protowire.DecodeZigZag(field.value)
 	case fieldBy:
 		r.By = interned.intern(field.text)
-	default: // a field of a newer program
+	default: // a field added by a newer program
 	}
 }
 
-// firstSeqOf returns the first sequence number that an encoded record stands for, without decoding the rest. It
-// relies on appendRecord's order: Seq is the first field, and From is the second one, of gaps only.
+// firstSeqOf returns firstSeq of an encoded record without decoding the rest. It relies on the order of fields in
+// appendRecord: Seq is the first field, and From, which only gaps have, is the second.
 func firstSeqOf(payload []byte) uint64 {
 	seq, size := protowire.ConsumeVarint(payload[1:])
 	rest := payload[1+size:]
--- a/internal/record/header.go
+++ b/internal/record/header.go
@@ -12,7 +12,7 @@
 
 // A segment begins with two copies of its header. The layout of a copy in bytes, integers little-endian:
 //
-//	magic 6, version 2, payload size 2, CRC32C of the three and the payload 4, payload (message Header), zeros
+//	magic 6, version 2, payload size 2, CRC32C of the preceding fields and the payload 4, payload (message Header), zeros
 const (
 	formatVersion     = 1
 	headerCopySize    = 256
@@ -21,7 +21,7 @@
 	versionOffset     = 6
 	payloadSizeOffset = 8
 	checksumOffset    = 10
-	maxHeaderString   = 64 // bytes; a longer name or program version is truncated
+	maxHeaderString   = 64 // in bytes; a longer instance name or program version is truncated
 )
 
 // Field numbers of message Header in record.proto.
@@ -44,13 +44,13 @@
 // A Header describes a segment.
 type Header struct {
 	Name      string // name of the instance
-	Store     uint64 // id of the store, random, drawn when the store is created
-	RunID     uint64 // id of the run, random, drawn at each start of the program
-	Nonce     uint64 // random, seeds the CRC of the segment's frames: content of a field cannot pass for a frame
+	Store     uint64 // random id of the store, generated when it is created
+	RunID     uint64 // random id of the run, generated at each start of the program
+	Nonce     uint64 // random, seeds the CRC of the frames: the content of a field is not mistaken for a frame
 	First     uint64 // first sequence number in the segment
 	StartTime Time   // start of the program; stored times are relative to it
 	Program   string // program version
-	Index     uint64 // number of the segment within the run, from 1
+	Index     uint64 // number of the segment within the run, starting at 1
 }
 
 // A VersionError reports a segment of a newer format version.
@@ -58,15 +58,15 @@
 	Version int // format version of the segment
 }
 
-// Error implements error.
+// Error describes both format versions.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("format version %d; this program reads up to %d", e.Version, formatVersion)
 }
 
-// errNoIntactHeader is returned for a segment of which neither copy of the header is intact.
+// errNoIntactHeader is returned if neither copy of a segment's header is intact.
 var errNoIntactHeader = errors.New("no intact header")
 
-// appendHeader encodes a header twice.
+// appendHeader encodes both copies of a header.
 func appendHeader(b []byte, h *Header) []byte {
 	payload := h.appendPayload(nil)
 	var headerCopy [headerCopySize]byte
@@ -114,8 +114,8 @@
 		}
 		return decodeHeaderPayload(payload)
 	}
-	// A newer version may have another layout behind the version. Both copies must agree on it: a single flipped bit
-	// does not make a version.
+	// A newer format may have a different layout after the version field. Both copies must have the same version, so
+	// that a single flipped bit is not reported as a newer format.
 	agree := bytes.Equal(first[:payloadSizeOffset], second[:payloadSizeOffset])
 	if version := versionOf(first); agree && hasMagic(first) && version > formatVersion {
 		return Header{}, &VersionError{Version: version}
@@ -129,7 +129,7 @@
 	return int(binary.LittleEndian.Uint16(headerCopy[versionOffset:]))
 }
 
-// intactPayload returns the payload of a header copy if magic, size and checksum are right.
+// intactPayload returns the payload of a header copy if magic, size and checksum are valid.
 func intactPayload(headerCopy []byte) (payload []byte, isIntact bool) {
 	size := int(binary.LittleEndian.Uint16(headerCopy[payloadSizeOffset:]))
 	if !hasMagic(headerCopy) || size > headerCopySize-headerPrefixSize {
@@ -167,7 +167,7 @@
 			h.Program = string(field.text)
 		case headerFieldIndex:
 			h.Index = field.value
-		default: // a field of a newer program
+		default: // a field added by a newer program
 		}
 	}
 	return h, nil
--- a/internal/record/printable.go
+++ b/internal/record/printable.go
@@ -7,11 +7,11 @@
 
 const (
 	asciiDEL       = 0x7f
-	lastC1         = 0x9f // the C1 control characters follow DEL
+	lastC1         = 0x9f // last of the C1 control characters, which follow DEL
 	firstPrintable = ' '
 )
 
-// Printable replaces control characters and invalid UTF-8 in a string by U+FFFD, for screens and reports.
+// Printable replaces control characters and invalid UTF-8 in a string with U+FFFD, for terminals and reports.
 func Printable(s string) string {
 	return strings.Map(func(c rune) rune {
 		if isControl(c) {
--- a/internal/record/wire.go
+++ b/internal/record/wire.go
@@ -7,10 +7,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The encoders below write fields of proto3 messages: a field with the zero value is left out. They allocate nothing
-// if b has room.
+// The encoders below append fields of proto3 messages to b: a field with the zero value is omitted. They do not
+// allocate if b has enough capacity.
 
-// maxStringSize is the size in bytes at which a stored string is truncated.
+// maxStringSize is the maximum size in bytes of a stored string; longer strings are truncated.
 const maxStringSize = 512
 
 // appendUint encodes a field of type uint32, uint64 or bool.
@@ -26,7 +26,7 @@
 	return appendUint(b, number, protowire.EncodeZigZag(v))
 }
 
-// appendFixed64 encodes a field of type fixed64, also if it is zero.
+// appendFixed64 encodes a field of type fixed64, even if it is zero.
 func appendFixed64(b []byte, number protowire.Number, v uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, number, protowire.Fixed64Type), v)
 }
@@ -39,8 +39,8 @@
 	return appendFixed64(b, number, math.Float64bits(v))
 }
 
-// appendString encodes a field of type string, truncated to maxStringSize. Bytes that are not valid UTF-8 are stored
-// as they are and replaced where they are printed.
+// appendString encodes a field of type string, truncated to maxStringSize. Invalid UTF-8 is stored unchanged
+// and replaced when it is printed.
 func appendString(b []byte, number protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -60,14 +60,14 @@
 // errMalformedField is returned for bytes that are not a protobuf field.
 var errMalformedField = errors.New("record: malformed protobuf field")
 
-// A wireField is a decoded field. A field of a type that the format does not use has neither value nor text.
+// A wireField is a decoded field. For wire types that the format does not use, value and text are not set.
 type wireField struct {
 	number protowire.Number
-	value  uint64 // of a varint or fixed64 field
-	text   []byte // of a string field; part of the buffer that it was decoded from
+	value  uint64 // value of a varint or fixed64 field
+	text   []byte // value of a string field; a slice of the buffer that was decoded
 }
 
-// consumeField decodes the first field of b and returns the bytes behind it.
+// consumeField decodes the first field of b and returns the bytes after it.
 func consumeField(b []byte) (field wireField, rest []byte, err error) {
 	number, wireType, tagSize := protowire.ConsumeTag(b)
 	if tagSize < 0 {
@@ -92,16 +92,16 @@
 	return field, b[size:], nil
 }
 
-// maxInternedStrings bounds an internTable. Servers, classes and ends of attempts are few; strings that an
-// adversary chooses must not fill the memory.
+// maxInternedStrings limits the size of an internTable. There are few distinct servers, classes and ends of attempts;
+// the limit prevents strings chosen by an attacker from exhausting the memory.
 const maxInternedStrings = 4096
 
-// internTable holds one copy of each string that occurs in many records.
+// An internTable holds one copy of each string, shared by all records in which it occurs.
 type internTable map[string]string
 
-// intern returns b as a string, without an allocation if the string is known.
+// intern returns b as a string, without an allocation if the table contains it.
 func (s internTable) intern(b []byte) string {
-	if known, ok := s[string(b)]; ok { // the compiler converts b without an allocation here
+	if known, ok := s[string(b)]; ok { // the compiler does not allocate for this conversion
 		return known
 	}
 	text := string(b)
