--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// Options of a Log. Sizes are in bytes. The caller has checked them (config.Records).
+// Options configure a Log. Sizes are in bytes. The caller validates them (config.Records).
 type Options struct {
 	Dir          string
 	Name         string // name of the instance
 	Program      string // program version
-	QueueBytes   int    // size of the queue to the writer, rounded up to a power of two
+	QueueBytes   int    // size of the queue of records to be written, rounded up to a power of two
 	SyncInterval time.Duration
 	SegmentBytes int64         // maximum size of a segment
 	TotalBytes   int64         // maximum size of the store
-	MaxAge       time.Duration // maximum age of a segment; 0: unbounded
+	MaxAge       time.Duration // maximum age of a segment; 0: unlimited
 	StartTime    Time          // start of the program; stored times are relative to it
-	// OnDiskHealth is called with the first failure of the disk after a success, and with nil when the disk works
-	// again. It runs on the writer's goroutine.
+	// OnDiskHealth is called with the first error of the disk after a success, and with nil when the disk works
+	// again. It is called from the writer's goroutine.
 	OnDiskHealth func(error)
-	Disk         Disk // nil: the directory Dir
+	Disk         Disk // nil: the directory Dir of the file system
 }
 
-// ErrCloseTimeout is returned by Log.Close if the disk did not take the last records in time.
-var ErrCloseTimeout = errors.New("record: the disk did not take the last records in time")
+// ErrCloseTimeout is returned by Log.Close if the last records could not be written before the timeout.
+var ErrCloseTimeout = errors.New("record: timeout while writing the last records")
 
-// A Log appends records to a store. Put and Close belong to one goroutine, the event loop, and do not wait for the
-// disk; the other methods may be called from any goroutine unless they say otherwise. A goroutine that Open starts
-// and Close ends owns the files (writer).
+// A Log appends records to a store. Put and Close may only be called from one goroutine, the event loop. Put does not
+// wait for the disk. The other methods may be called from any goroutine unless their comment says otherwise. The files
+// are owned by the writer, a goroutine that Open starts and Close stops.
 type Log struct {
 	// Owned by the event loop.
 	nextSeq  uint64
-	putCount uint64 // records put since the start
-	lastTime Time   // time of the last record put
-	baseTime Time   // Options.Wall
+	putCount uint64 // number of calls of Put
+	lastTime Time   // time of the last record passed to Put
+	baseTime Time   // Options.StartTime
 	dropped  droppedRange
-	encoded  []byte // buffer of the record being queued
+	encoded  []byte // buffer for the encoded record
 
-	lost   atomic.Uint64 // records that gaps written by this Log stand for
+	lost   atomic.Uint64 // records replaced by the gaps of this Log
 	queue  *ringQueue
 	shared *writerState
 }
 
-// A droppedRange is the range of records that found no room in the queue. It ends before the next record that finds
-// room.
+// A droppedRange is a range of records that were dropped because the queue was full. It ends before the next record
+// that is queued.
 type droppedRange struct {
-	from  uint64 // first dropped sequence number; 0: nothing was dropped
+	from  uint64 // first dropped sequence number; 0: no record was dropped
 	since Time   // time of the first dropped record
 	cause GapCause
 }
 
 func (d *droppedRange) isEmpty() bool { return d.from == 0 }
 
-// Open creates the store in a directory or recovers the one that is there (see recoverStore), and starts the writer.
-// It fails only if the directory cannot be used at all: a full disk appears as a gap later.
+// Open creates a store in Options.Dir or recovers the existing one (see recoverStore), and starts the writer. It fails
+// only if the directory is unusable or in use by another process: a full disk appears as a gap later.
 func Open(o Options) (*Log, Recovery, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, Recovery{}, fmt.Errorf("record: %w", err)
@@ -90,7 +90,8 @@
 	return l, recovery, nil
 }
 
-// queueRecoveryGap skips the sequence numbers that a segment set aside may have used.
+// queueRecoveryGap skips the sequence numbers that a segment set aside by recovery may have used, and queues a gap
+// record for them.
 func (l *Log) queueRecoveryGap(recovery *Recovery) {
 	if recovery.SkippedNumbers == 0 {
 		return
@@ -108,8 +109,8 @@
 	l.lost.Add(recovery.SkippedNumbers)
 }
 
-// Put appends a record and sets its Seq. It takes no lock, does not wait and allocates nothing. If the queue is full,
-// the record is dropped. As soon as there is room again, one gap record with the exact range replaces the records
+// Put appends a record and sets its Seq. It takes no lock, does not block and does not allocate. If the queue is full,
+// the record is dropped. As soon as there is room again, one gap record with the exact range replaces all records
 // dropped until then.
 func (l *Log) Put(r *Record) {
 	r.Seq = l.nextSeq
@@ -125,13 +126,14 @@
 	}
 }
 
-// enqueue encodes a record, queues it and reports whether there was room.
+// enqueue encodes and queues a record. It reports whether the queue had room for it.
 func (l *Log) enqueue(r *Record) bool {
 	l.encoded = appendRecord(l.encoded[:0], r, l.baseTime)
 	return l.queue.append(l.encoded)
 }
 
-// enqueueDroppedGap queues the gap record for the dropped records up to lastSeq and reports whether there was room.
+// enqueueDroppedGap queues the gap record for the dropped records up to lastSeq. It reports whether the queue had room
+// for it.
 func (l *Log) enqueueDroppedGap(lastSeq uint64) bool {
 	gap := Record{
 		Kind:  KindGap,
@@ -148,7 +150,7 @@
 	return true
 }
 
-// drop counts a record that found no room.
+// drop counts a dropped record and adds it to the dropped range.
 func (l *Log) drop(r *Record) {
 	l.lost.Add(1)
 	if !l.dropped.isEmpty() {
@@ -160,20 +162,20 @@
 	}
 }
 
-// Lost returns how many records gaps stand for since the start.
+// Lost returns how many records have been replaced by gaps since the start.
 func (l *Log) Lost() uint64 { return l.lost.Load() }
 
-// Written returns how many records are durable.
+// Written returns how many records have been made durable since the start.
 func (l *Log) Written() uint64 { return l.shared.written.Load() }
 
-// Records returns how many records were put. Only the event loop may call it.
+// Records returns how many records were passed to Put. Only the event loop may call it.
 func (l *Log) Records() uint64 { return l.putCount }
 
-// Failing returns why the disk fails at present, NoGap if it works.
+// Failing returns why the disk is failing, or NoGap if it works.
 func (l *Log) Failing() GapCause { return l.shared.failureCause() }
 
-// Close writes the queued records and ends the writer. It waits at most timeout, so that a hanging disk does not
-// delay an orderly shutdown, and then returns ErrCloseTimeout. Put must not be called any more.
+// Close writes the queued records and stops the writer. It waits at most for the timeout, so that a hanging disk does
+// not delay a clean shutdown, and then returns ErrCloseTimeout. Put must not be called after Close.
 func (l *Log) Close(timeout time.Duration) error {
 	if !l.dropped.isEmpty() {
 		l.enqueueDroppedGap(l.nextSeq - 1)
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// batchSize is the size in bytes from which on a batch of frames is written.
+	// batchSize is the size in bytes at which a batch of frames is written.
 	batchSize = 64 << 10
 
-	// Bounds of the time between commits while the disk fails.
+	// Delay between commits while the disk fails.
 	minRetryDelay      = 50 * time.Millisecond
 	maxRetryDelay      = 5 * time.Second
 	retryRandomization = 0.2
 )
 
-// A writer moves payloads from the queue to the segments of a store. Its goroutine, run, owns it and all files.
+// A writer moves payloads from the queue to the segments of a store. Only the goroutine of run uses it and its files.
 type writer struct {
 	options  Options
 	lockFile *os.File
@@ -29,11 +29,11 @@
 	header  Header      // of the open segment
 	open    openSegment // the segment being written
 	closed  closedSegments
-	batch   []byte // frames that are not written yet
+	batch   []byte // frames that have not been written yet
 	payload []byte // buffer of the payload being read from the queue
 }
 
-// newWriter returns a writer that continues the recovered store.
+// newWriter returns a writer that appends to the recovered store.
 func newWriter(o Options, lockFile *os.File, recovery *Recovery, queue *ringQueue, shared *writerState) *writer {
 	return &writer{
 		options:  o,
@@ -53,7 +53,7 @@
 	}
 }
 
-// run commits at each sync interval, when the queue is half full, and once more before it ends.
+// run commits at each sync interval, when the queue is half full, and a last time when the Log is closed.
 func (w *writer) run() {
 	defer close(w.shared.done)
 	defer func() { _ = w.lockFile.Close() }()
@@ -67,7 +67,7 @@
 			continue
 		}
 		err := w.commit()
-		// Cleared only now: until the queue is emptier, further records need not wake the writer.
+		// Cleared only after the commit: while the queue is being drained, further records need not wake the writer.
 		w.shared.wakeRequested.Store(false)
 		if err != nil {
 			retryAt = time.Now().Add(retryDelay.NextBackOff())
@@ -83,7 +83,7 @@
 	}
 }
 
-// waitForWork waits for a reason to commit and reports whether the Log is being closed.
+// waitForWork blocks until the next commit is due and reports whether the Log is being closed.
 func (w *writer) waitForWork(tick <-chan time.Time) (isClosing bool) {
 	select {
 	case <-w.shared.wake:
@@ -95,7 +95,7 @@
 	}
 }
 
-// newRetryBackOff returns the delays between commits while the disk fails.
+// newRetryBackOff returns the backoff for commits while the disk fails.
 func newRetryBackOff(syncInterval time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = max(syncInterval, minRetryDelay)
@@ -104,7 +104,7 @@
 	return b
 }
 
-// reportHealth publishes the result of a commit and calls Options.Trouble when the disk begins or ceases to fail.
+// reportHealth publishes the result of a commit and calls Options.OnDiskHealth when the disk starts or stops failing.
 func (w *writer) reportHealth(err error) {
 	cause := gapCauseOf(err)
 	previous := w.shared.setFailureCause(cause)
--- a/internal/record/writerstate.go
+++ b/internal/record/writerstate.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// A writerState is what the event loop and the writer share beside the queue.
+// A writerState is the state shared by the event loop and the writer, except for the queue.
 type writerState struct {
 	failCause     atomic.Uint32 // a GapCause; NoGap while the disk works
 	written       atomic.Uint64 // records that are durable
-	wakeRequested atomic.Bool   // wake was signaled and the writer has not committed since
-	wake          chan struct{} // of capacity 1
+	wakeRequested atomic.Bool   // a value was sent to wake, and the writer has not committed since
+	wake          chan struct{} // capacity 1
 	closing       chan struct{} // closed by Log.Close
-	done          chan struct{} // closed by the writer at its end
+	done          chan struct{} // closed by the writer when it ends
 	closeErr      error         // result of the last commit, valid once done is closed
 }
 
@@ -21,7 +21,7 @@
 	}
 }
 
-// wakeWriter makes the writer commit before its next sync interval. It does not wait.
+// wakeWriter makes the writer commit before the next sync interval. It does not block.
 func (s *writerState) wakeWriter() {
 	if !s.wakeRequested.CompareAndSwap(false, true) {
 		return
@@ -32,10 +32,10 @@
 	}
 }
 
-// failureCause returns why the disk fails at present, NoGap if it works.
+// failureCause returns why the disk is failing, or NoGap if it works.
 func (s *writerState) failureCause() GapCause { return GapCause(s.failCause.Load()) }
 
-// setFailureCause sets the cause and returns the previous one.
+// setFailureCause sets the cause of failure and returns the previous one.
 func (s *writerState) setFailureCause(cause GapCause) GapCause {
 	return GapCause(s.failCause.Swap(uint32(cause)))
 }
