--- a/internal/record/commit.go
+++ b/internal/record/commit.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// A commitProgress is how far a commit has read the queue.
+// A commitProgress tracks how far a commit has read the queue.
 type commitProgress struct {
-	position uint64 // position in the queue behind the last payload read
+	position uint64 // position in the queue after the last payload read
 	records  uint64 // payloads read since the last sync
 }
 
-// commit writes and syncs all queued records. After an error it abandons the segment, truncated to what is known to
-// be durable, and the next commit begins another segment with everything that is not: after a failed sync it is
-// unknown which pages reached the disk, and a second sync that succeeds does not show it. A Reader ignores records that
-// are stored twice.
+// commit writes and syncs all queued records. After an error it truncates the segment to what is known to be durable
+// and abandons it; the next commit writes all other records to a new segment. The segment is not reused because after a
+// failed sync it is unknown which pages reached the disk, and a later sync may succeed although pages were lost. A
+// Reader ignores records that are stored twice.
 func (w *writer) commit() error {
 	progress := commitProgress{position: w.queue.released.Load()}
 	if progress.position == w.queue.appended.Load() {
@@ -42,7 +42,8 @@
 				return err
 			}
 		}
-		// The queue is filled while it is drained. Without syncs in between, nothing might ever become durable.
+		// The producer keeps filling the queue while it is drained. Without syncs in between, the loop might never end
+		// and nothing would become durable.
 		if progress.position-w.queue.released.Load() > w.queue.size()/4 {
 			if err := w.flushAndSync(progress); err != nil {
 				return err
@@ -52,7 +53,7 @@
 	return w.flushAndSync(progress)
 }
 
-// prepareSegment makes sure that a segment with room for the payload is open.
+// prepareSegment ensures that a segment with room for the payload is open.
 func (w *writer) prepareSegment(payload []byte, progress *commitProgress) error {
 	if w.open.isOpen() && w.isFullFor(payload) {
 		if err := w.flushAndSync(progress); err != nil {
@@ -68,13 +69,13 @@
 	return w.beginSegment(firstSeqOf(payload))
 }
 
-// isFullFor reports whether the payload does not fit the open segment. A segment takes at least one record.
+// isFullFor reports whether the payload does not fit in the open segment. A segment holds at least one record.
 func (w *writer) isFullFor(payload []byte) bool {
 	size := w.open.size + int64(len(w.batch))
 	return size > headerSize && size+int64(frameSize(payload)) > w.options.SegmentBytes
 }
 
-// flushAndSync makes everything that was read from the queue durable.
+// flushAndSync makes all records read from the queue durable.
 func (w *writer) flushAndSync(progress *commitProgress) error {
 	if err := w.flush(); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	return w.sync(progress)
 }
 
-// flush writes the batch.
+// flush writes the batch to the open segment.
 func (w *writer) flush() error {
 	if len(w.batch) == 0 {
 		return nil
@@ -92,7 +93,7 @@
 	return err
 }
 
-// sync makes the written records durable and releases their room in the queue. The batch must be flushed before.
+// sync makes the written records durable and releases their space in the queue. The batch must have been flushed.
 func (w *writer) sync(progress *commitProgress) error {
 	records := progress.records
 	progress.records = 0
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// beginSegment creates the next segment, for records from a sequence number on.
+// beginSegment creates the next segment; first is the sequence number of its first record.
 func (w *writer) beginSegment(first uint64) error {
 	if err := w.closed.makeRoom(&w.options); err != nil {
 		return err
@@ -115,7 +116,7 @@
 	w.header.Nonce = rand.Uint64()
 	w.header.First = first
 	name := segmentName(first, w.header.RunID, w.header.Index)
-	w.header.Index++ // the name counts from 0, the stored header from 1
+	w.header.Index++ // the index in the file name starts at 0, the one in the stored header at 1
 	file, err := w.options.Disk.Create(name)
 	if err != nil {
 		return err
@@ -139,8 +140,8 @@
 	if !w.open.isOpen() {
 		return
 	}
-	// Truncation removes what is half written. If it fails as well, a Reader detects the damage and finds the
-	// records in the next segment.
+	// Truncation removes partially written frames. If it fails too, a Reader detects the damage and finds the records
+	// in the next segment.
 	remaining := w.open.durableSize
 	if w.open.file.Truncate(remaining) != nil {
 		remaining = w.open.size
--- a/internal/record/disk.go
+++ b/internal/record/disk.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// A Disk is the part of a file system that a Log writes to. Names have no directory. Tests replace it to inject
-// failures.
+// A Disk is the subset of file system operations that a Log uses for its segments. Names do not include a directory.
+// Tests replace it to inject failures.
 type Disk interface {
-	// Create creates a file for appending and fails if it exists.
+	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
 	// Remove removes a file.
 	Remove(name string) error
-	// SyncDir makes created and removed names durable.
+	// SyncDir makes the creation and removal of files durable.
 	SyncDir() error
 }
 
@@ -27,7 +27,7 @@
 	Close() error
 }
 
-// A directory is a Disk in a directory of the operating system.
+// A directory is the path of an operating system directory that implements Disk.
 type directory string
 
 // Create implements Disk.
@@ -47,7 +47,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// gapCauseOf classifies an error of a Disk or File.
+// gapCauseOf returns the gap cause for an error of a Disk or File.
 func gapCauseOf(err error) GapCause {
 	switch {
 	case err == nil:
--- a/internal/record/lock.go
+++ b/internal/record/lock.go
@@ -8,13 +8,14 @@
 	"syscall"
 )
 
-// lockFileName is the file whose lock the process that writes to a store holds.
+// lockFileName is the file that the process writing to a store holds locked.
 const lockFileName = "lock"
 
-// ErrInUse is wrapped by the error of Open for a store that another process writes to.
+// ErrInUse is wrapped by the error that Open returns if another process writes to the store.
 var ErrInUse = errors.New("in use by another process")
 
-// lockStore acquires the writer's lock on a store. It is held until the returned file is closed.
+// lockStore acquires the writer's lock on a store. The lock is held until the returned file is
+// closed.
 func lockStore(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -22,12 +23,12 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close()
-		return nil, fmt.Errorf("record: %s is %w; each instance needs a folder of its own: %w", dir, ErrInUse, err)
+		return nil, fmt.Errorf("record: %s is %w; each instance needs its own directory: %w", dir, ErrInUse, err)
 	}
 	return f, nil
 }
 
-// Live reports whether a process writes to a store.
+// Live reports whether a process is writing to a store, that is, holds the writer's lock.
 func Live(dir string) bool {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDONLY, 0)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-// hasLockFile reports whether a directory is a store, which may not have a segment yet.
+// hasLockFile reports whether a directory contains a lock file. A store has one even before its first segment.
 func hasLockFile(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, lockFileName))
 	return err == nil
--- a/internal/record/opensegment.go
+++ b/internal/record/opensegment.go
@@ -1,17 +1,17 @@
 package record
 
-// An openSegment is the segment being written. The zero value is closed.
+// An openSegment is the segment being written. The zero value is a closed segment.
 type openSegment struct {
 	file        File // nil: closed
 	name        string
 	size        int64  // bytes written
 	durableSize int64  // bytes written and synced
-	seed        uint32 // frameSeed of its nonce
+	seed        uint32 // frameSeed of the segment's nonce
 }
 
 func (s *openSegment) isOpen() bool { return s.file != nil }
 
-// write appends bytes and counts those that were written, also after an error.
+// write appends bytes and adds the number of bytes written to size, even after an error.
 func (s *openSegment) write(b []byte) error {
 	n, err := s.file.Write(b)
 	s.size += int64(n)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// close closes the file if it is open. The segment is closed afterwards, also after an error.
+// close closes the file if it is open. The segment is closed afterwards, even after an error.
 func (s *openSegment) close() error {
 	if s.file == nil {
 		return nil
--- a/internal/record/retention.go
+++ b/internal/record/retention.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxSegments bounds the segments of a store: a program that restarts every second must not fill the directory with
-// small files.
+// maxSegments limits the number of segments of a store, so that a program that restarts every second does not fill the
+// directory with small files.
 const maxSegments = 1024
 
 // A closedSegment is a segment that is no longer written.
@@ -17,18 +17,18 @@
 	lastModified time.Time
 }
 
-// The closedSegments of a store, the oldest first.
+// closedSegments holds the closed segments of a store, oldest first.
 type closedSegments struct {
 	files []closedSegment
 }
 
-// add appends a segment that is closed now.
+// add appends a segment that was closed just now.
 func (c *closedSegments) add(name string, size int64) {
 	c.files = append(c.files, closedSegment{name: name, size: size, lastModified: time.Now()})
 }
 
-// makeRoom removes the oldest segments until the bounds of the options hold with one full segment more. If a segment
-// cannot be removed, it returns the error, and nothing may be written.
+// makeRoom removes the oldest segments until another full segment fits within the limits of the options. If a segment
+// cannot be removed, it returns the error, and no further segment may be written.
 func (c *closedSegments) makeRoom(o *Options) error {
 	total := o.SegmentBytes
 	for _, s := range c.files {
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -15,21 +15,21 @@
 	setAsideSuffix = ".aside"
 )
 
-// A segment is a file of a store, described by its name.
+// A segment describes a segment file by the parts of its name.
 type segment struct {
 	name       string
 	first      uint64 // first sequence number
-	runID      uint64 // Header.Boot
-	index      uint64 // number within the run, from 0
+	runID      uint64 // Header.RunID
+	index      uint64 // number of the segment within the run, starting at 0
 	isSetAside bool
 }
 
-// segmentName returns the name of a segment. Names sort in the order of the records.
+// segmentName returns the file name of a segment. Names sort in the order of the records.
 func segmentName(first, runID, index uint64) string {
 	return fmt.Sprintf("%020d-%016x-%06d%s", first, runID, index, segmentSuffix)
 }
 
-// parseSegmentName parses a name made by segmentName, with or without setAsideSuffix.
+// parseSegmentName parses a name returned by segmentName, with or without setAsideSuffix.
 func parseSegmentName(name string) (s segment, isSegment bool) {
 	base, isSetAside := strings.CutSuffix(name, setAsideSuffix)
 	base, hasSuffix := strings.CutSuffix(base, segmentSuffix)
@@ -46,7 +46,7 @@
 	return segment{name: name, first: first, runID: runID, index: index, isSetAside: isSetAside}, true
 }
 
-// isSameAs reports whether both names are of the same segment, set aside or not.
+// isSameAs reports whether both names refer to the same segment, whether or not it has been set aside.
 func (s segment) isSameAs(other segment) bool {
 	return s.first == other.first && s.runID == other.runID && s.index == other.index
 }
