--- a/internal/record/inspect.go
+++ b/internal/record/inspect.go
@@ -7,31 +7,31 @@
 	"os"
 )
 
-// maxPlausibleSeq bounds the sequence numbers that recovery continues from: no store reaches it, and numbers behind
-// it would wrap around.
+// maxPlausibleSeq limits the sequence numbers that recovery continues from: no store reaches it, and
+// continuing from a greater number could wrap around.
 const maxPlausibleSeq = math.MaxUint64 / 2
 
-// A segmentTail describes the end of a segment.
+// A segmentTail describes where the intact part of a segment ends.
 type segmentTail struct {
-	size       int64 // of the file
+	size       int64 // size of the file
 	header     Header
-	headerErr  error  // the header is not intact, or of a newer version; nothing below is known then
-	lastSeq    uint64 // sequence number of the last intact record, 0: there is none
-	lastKind   Kind   // its kind
-	intactSize int64  // bytes up to the first damage
-	tornBytes  int64  // bytes behind it, if no frame in them is intact
-	isDamaged  bool   // intact frames follow the damage
+	headerErr  error  // the header is not intact or of a newer version; the fields below are not set then
+	lastSeq    uint64 // sequence number of the last intact record; 0: none
+	lastKind   Kind   // kind of the last intact record
+	intactSize int64  // number of bytes before the first damage
+	tornBytes  int64  // number of bytes after intactSize, if they contain no intact frame
+	isDamaged  bool   // intact frames follow the first damage
 }
 
-// isEmpty reports whether the segment has a header and no record.
+// isEmpty reports whether the segment has an intact header and no records.
 func (t *segmentTail) isEmpty() bool { return t.headerErr == nil && t.lastSeq == 0 && !t.isDamaged }
 
-// endsCleanly reports whether an orderly shutdown ended the segment.
+// endsCleanly reports whether the segment ends with a clean shutdown.
 func (t *segmentTail) endsCleanly() bool {
 	return t.lastKind == KindEnd && t.tornBytes == 0 && !t.isDamaged
 }
 
-// inspectSegment reads a whole segment. A header that cannot be decoded is no error.
+// inspectSegment reads a whole segment. A header that cannot be decoded is reported as headerErr, not as an error.
 func inspectSegment(path string) (segmentTail, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -54,13 +54,13 @@
 	return t, t.readFrames(&s)
 }
 
-// isHeaderError reports whether err is of decodeHeader, not of the file.
+// isHeaderError reports whether err was returned by decodeHeader and is not a file error.
 func isHeaderError(err error) bool {
 	var versionErr *VersionError
 	return errors.Is(err, errNoIntactHeader) || errors.As(err, &versionErr)
 }
 
-// readFrames reads the frames behind the header.
+// readFrames reads the frames after the header.
 func (t *segmentTail) readFrames(s *scanner) error {
 	t.intactSize = headerSize
 	interned := internTable{}
--- a/internal/record/recover.go
+++ b/internal/record/recover.go
@@ -7,19 +7,19 @@
 	"path/filepath"
 )
 
-// A Recovery is what Open found in a store.
+// A Recovery describes the state in which Open found a store.
 type Recovery struct {
-	LastSeq        uint64 // sequence number of the last record, 0: the store is new
-	Clean          bool   // the previous run ended in good order, or there was none
-	TruncatedBytes int64  // bytes of a torn tail that were removed
-	SetAsideFile   string // segment that was set aside
-	SkippedNumbers uint64 // sequence numbers behind LastSeq that this segment may have used
+	LastSeq        uint64 // sequence number of the last record; 0: the store is new
+	Clean          bool   // the previous run shut down cleanly, or there was none
+	TruncatedBytes int64  // size of the torn tail that was removed
+	SetAsideFile   string // segment that was set aside; empty: none
+	SkippedNumbers uint64 // number of sequence numbers after LastSeq that this segment may have used
 
-	store    uint64 // id of the store, 0: unknown
+	store    uint64 // id of the store; 0: unknown
 	segments []closedSegment
 }
 
-// String implements fmt.Stringer. The text is stored in the KindStart record.
+// String returns the text that is stored in the KindStart record.
 func (r Recovery) String() string {
 	s := fmt.Sprintf("last record %d", r.LastSeq)
 	if r.LastSeq == 0 {
@@ -36,13 +36,14 @@
 	return s
 }
 
-// minFrameSize is the size of the smallest frame. It bounds how many records an unreadable segment holds.
+// minFrameSize is the size of the smallest frame. It limits how many records an unreadable segment can hold.
 const minFrameSize = framePrefixSize + 4
 
-// recoverStore finds where a store ended and prepares it for further records. Only the last segment can be torn: each
-// other segment was synced before the next began. A torn tail is truncated. Damage with intact frames behind it is
-// not a torn tail: that segment is renamed (set aside), and so is one that cannot be read at all. Readers still read
-// what is intact in it, and its sequence numbers are not used again.
+// recoverStore finds the end of a store and prepares it for further records. Only the last segment can have a torn
+// tail (a partially written frame at its end): each other segment was synced before the next one was created. A torn
+// tail is truncated. Damage followed by intact frames is not a torn tail: that segment is renamed (set aside), as is a
+// segment that cannot be read at all. Readers still read the intact records in it, and its sequence numbers are not used
+// again.
 func recoverStore(dir string) (Recovery, error) {
 	all, err := listSegments(dir)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return r, nil
 }
 
-// recoverSegment recovers one segment and reports whether it is the last with a record. A segment that has vanished
-// or is empty is not.
+// recoverSegment recovers one segment and reports whether it is the last one with records. A segment that was removed
+// meanwhile or is empty has none.
 func (r *Recovery) recoverSegment(dir string, s *segment) (isLast bool, err error) {
 	path := filepath.Join(dir, s.name)
 	t, err := inspectSegment(path)
@@ -102,7 +103,7 @@
 	}
 }
 
-// setAside renames a segment, unless it was renamed earlier, and skips the numbers that it may have used.
+// setAside renames a segment, unless it was renamed earlier, and skips the sequence numbers that it may have used.
 func (r *Recovery) setAside(dir string, s *segment, t *segmentTail) error {
 	if !s.isSetAside {
 		path := filepath.Join(dir, s.name)
@@ -128,12 +129,12 @@
 	return nil
 }
 
-// collectSegments notes the segments that remain, for the retention.
+// collectSegments lists the remaining segments for retention.
 func (r *Recovery) collectSegments(dir string, all []segment) {
 	for _, s := range all {
 		info, err := os.Stat(filepath.Join(dir, s.name))
 		if err != nil {
-			continue // removed above, or by somebody else
+			continue // removed by recoverSegment or another process
 		}
 		r.segments = append(r.segments, closedSegment{name: s.name, size: info.Size(), lastModified: info.ModTime()})
 	}
