--- a/internal/record/damage.go
+++ b/internal/record/damage.go
@@ -1,32 +1,32 @@
 package record
 
-// A Damage is a place in a store where records are lost or where bytes are not a record.
+// A Damage describes a place in a store where records are lost or where bytes are not a valid record.
 type Damage struct {
 	File   string   `json:"file"`
 	Offset int64    `json:"offset"`         // in bytes; -1: the whole file
-	Bytes  int64    `json:"bytes"`          // that are not a record
-	From   uint64   `json:"from,omitempty"` // first lost sequence number; 0: none is lost, or it is not known which
+	Bytes  int64    `json:"bytes"`          // number of bytes that are not a valid record
+	From   uint64   `json:"from,omitempty"` // first lost sequence number; 0: none, or unknown
 	To     uint64   `json:"to,omitempty"`   // last lost sequence number
 	Cause  GapCause `json:"cause"`
 	Text   string   `json:"text"`
 }
 
-// wholeFile is the Offset of a Damage that concerns a whole file.
+// wholeFile is the Offset of a Damage that affects a whole file.
 const wholeFile = -1
 
-// maxDamages bounds a damageList. Further damages are only counted.
+// maxDamages limits the length of a damageList. Further damage is only counted.
 const maxDamages = 1000
 
-// A damageList collects the damages that a Reader detects.
+// A damageList collects the damage that a Reader detects.
 type damageList struct {
 	list    []Damage
-	omitted int // damages that the list had no room for
-	// The last damage since the last record, which explains a gap before the next record.
+	omitted int // number of entries omitted because the list was full
+	// The last damage since the last record was returned. It is the cause of a gap before the next record.
 	cause GapCause // NoGap: none
 	file  string
 }
 
-// add appends a damage, which explains the next gap.
+// add appends a damage and makes it the cause of the next gap.
 func (d *damageList) add(damage Damage) {
 	d.cause = damage.Cause
 	d.file = damage.File
@@ -37,8 +37,8 @@
 	d.list = append(d.list, damage)
 }
 
-// explainGap sets the cause of a gap before a record of the named file. It notes the lost range at the damage that
-// explains it, or adds a damage if there is none.
+// explainGap sets the cause of a gap before a record of the given file. It sets the lost range of the damage that
+// caused the gap, or adds a damage for the missing records if there is none.
 func (d *damageList) explainGap(gap *Record, file string) {
 	if d.cause == NoGap {
 		gap.Code = uint8(Missing)
@@ -64,7 +64,7 @@
 	}
 }
 
-// clearCause ends the time in which a damage explains a gap.
+// clearCause is called when a record is returned: earlier damage does not cause a gap after it.
 func (d *damageList) clearCause() {
 	d.cause = NoGap
 	d.file = ""
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -8,12 +8,13 @@
 	"path/filepath"
 )
 
-// A Reader reads the records of a store in the order of their sequence numbers, also while the store is written. It
-// returns gap records of its own where records are lost, so that sequence numbers never skip. A segment that
-// retention removes while it is read is a gap only if it was not open yet. A Reader belongs to one goroutine.
+// A Reader reads the records of a store in the order of their sequence numbers, even while the store is being written.
+// Where records are missing it returns gap records of its own, so that no sequence number is skipped. A segment that
+// retention removes during reading results in a gap only if the Reader has not opened it yet. A Reader may be used by
+// only one goroutine.
 type Reader struct {
 	dir      string
-	pending  []segment // segments to be read after the open one
+	pending  []segment // segments to read after the open one
 	interned internTable
 
 	// The segment that was opened last.
@@ -23,21 +24,21 @@
 	header  Header
 
 	position  readPosition
-	decoded   Record  // the record read last, before take decides about it
-	following *Record // the record behind a gap that was returned, nil: none
+	decoded   Record  // the last record decoded, which deliver returns, defers or ignores
+	following *Record // the record to return after a gap, nil: none
 
 	damages    damageList
 	duplicates uint64
 }
 
-// A readPosition is the last record that was returned.
+// A readPosition identifies the last record that was returned.
 type readPosition struct {
-	isKnown bool // false: nothing was returned, and it is not known where the store begins
+	isKnown bool // false: no record was returned, and the first sequence number is unknown
 	seq     uint64
 	at      Time
 }
 
-// OpenDir opens a store for reading. A directory without segments is a store without records.
+// OpenDir opens a store for reading. A directory without segments is an empty store.
 func OpenDir(dir string) (*Reader, error) {
 	pending, err := listSegments(dir)
 	if err != nil {
@@ -52,14 +53,14 @@
 // Header returns the header of the segment that the last record came from.
 func (r *Reader) Header() Header { return r.header }
 
-// Damages returns the damages detected so far, and how many more there were than the list holds.
+// Damages returns the damage detected so far, and how many further places were detected but not listed.
 func (r *Reader) Damages() (list []Damage, more int) { return r.damages.list, r.damages.omitted }
 
 // Duplicates returns how many records were ignored because they were stored more than once.
 func (r *Reader) Duplicates() uint64 { return r.duplicates }
 
-// TornTail returns the bytes at the end of the open segment that are not a record. In a store that is being written
-// they may become one, in any other they are a torn tail. size is 0 if there are none.
+// TornTail returns the position of the bytes at the end of the open segment that are not a frame. If the store is being
+// written, they may be a partially written frame; otherwise they are a torn tail. size is 0 if there are none.
 func (r *Reader) TornTail() (file string, offset, size int64) {
 	if r.file == nil {
 		return "", 0, 0
@@ -77,8 +78,8 @@
 	return err
 }
 
-// Next reads the next record into rec, which stays valid. At the end it returns io.EOF; if the store is still being
-// written, Next may be called again later.
+// Next reads the next record into rec, which remains valid. At the end of the store it returns io.EOF; if the store is
+// still being written, Next may be called again later.
 func (r *Reader) Next(rec *Record) error {
 	for {
 		if r.following != nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// errSegmentEnd is returned by nextFrame when it has closed a segment that was read to its end.
+// errSegmentEnd is returned by nextFrame after it has read a segment to its end and closed it.
 var errSegmentEnd = errors.New("record: end of the segment")
 
 // nextFrame returns the next frame of the open segment. At its end it returns io.EOF if it is the last segment, and
@@ -122,7 +123,7 @@
 	if !hasNewer {
 		return scannedFrame{}, io.EOF
 	}
-	// A later segment exists, so this one does not grow any more. What was added since the first attempt counts.
+	// A newer segment exists, so this one no longer grows. Frames may have been appended since the first attempt.
 	frame, err = r.scan.next()
 	if !errors.Is(err, io.EOF) {
 		return frame, r.readError(err)
@@ -141,7 +142,7 @@
 	return fmt.Errorf("record: %s: %w", filepath.Join(r.dir, r.segment.name), err)
 }
 
-// decode decodes a frame into r.decoded and reports whether it holds a record. It notes the damages.
+// decode decodes a frame into r.decoded and reports whether it contains a valid record. It lists any damage.
 func (r *Reader) decode(frame *scannedFrame) bool {
 	if frame.skippedBytes > 0 {
 		r.damages.add(Damage{
@@ -149,7 +150,7 @@
 			Offset: frame.offset - frame.skippedBytes,
 			Bytes:  frame.skippedBytes,
 			Cause:  Damaged,
-			Text:   "no intact records",
+			Text:   "no intact frames",
 		})
 	}
 	if decodeRecord(frame.payload, &r.decoded, r.header.StartTime, r.interned) == nil {
@@ -160,13 +161,13 @@
 		Offset: frame.offset,
 		Bytes:  int64(frameSize(frame.payload)),
 		Cause:  Damaged,
-		Text:   "a frame that holds no record",
+		Text:   "a frame without a valid record",
 	})
 	return false
 }
 
-// deliver decides about r.decoded: it is returned, or returned after a gap where sequence numbers are missing, or
-// ignored if it was returned before. It reports whether rec was set.
+// deliver sets rec to r.decoded, or to a gap if sequence numbers before it are missing; r.decoded then follows the gap.
+// A record that was returned before is ignored. deliver reports whether rec was set.
 func (r *Reader) deliver(rec *Record) bool {
 	first := r.decoded.firstSeq()
 	switch {
@@ -182,7 +183,7 @@
 	default:
 		*rec = r.decoded
 		if rec.Kind == KindGap {
-			// Recovery wrote the gap for a segment of which a part is intact after all.
+			// The gap was written by recovery for a segment of which some records could be read.
 			rec.From = r.position.seq + 1
 		}
 	}
@@ -190,7 +191,7 @@
 	return true
 }
 
-// gapBefore returns the gap between the last record returned and r.decoded, which begins with number first.
+// gapBefore returns the gap between the last record returned and r.decoded, whose first sequence number is given.
 func (r *Reader) gapBefore(first uint64) Record {
 	gap := Record{
 		Kind:  KindGap,
@@ -199,7 +200,7 @@
 		At:    r.decoded.At,
 		Since: r.position.at,
 	}
-	clockWentBack := gap.Since > gap.At // between two runs
+	clockWentBack := gap.Since > gap.At // the clock was set back between two runs
 	isStartUnknown := gap.Since == 0
 	if clockWentBack || isStartUnknown {
 		gap.Since = gap.At
@@ -208,7 +209,7 @@
 	return gap
 }
 
-// setPosition notes the record that Next returns.
+// setPosition advances the position to the record that Next returns.
 func (r *Reader) setPosition(rec *Record) {
 	r.position = readPosition{isKnown: true, seq: rec.Seq, at: rec.At}
 	r.damages.clearCause()
--- a/internal/record/readsegments.go
+++ b/internal/record/readsegments.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// findNewerSegments makes sure that segments behind the last one are pending, and reports whether there are any.
+// findNewerSegments adds the segments after the last one to the pending ones if there are none. It reports whether any
+// are pending.
 func (r *Reader) findNewerSegments() (bool, error) {
 	if len(r.pending) > 0 {
 		return true, nil
@@ -60,9 +61,9 @@
 	return len(r.pending) > 0, nil
 }
 
-// openPendingSegment opens the first pending segment and takes it off the list. A segment that retention has removed
-// or that cannot be opened under the name of one set aside yields an error that wraps os.ErrNotExist. After any other
-// error the segment stays pending.
+// openPendingSegment opens the first pending segment and removes it from the list. If the file does not exist, it tries
+// the name that recovery gives to a segment set aside; if that fails as well, for instance because retention has
+// removed the segment, it returns os.ErrNotExist. After any other error the segment remains pending.
 func (r *Reader) openPendingSegment() (*os.File, segment, error) {
 	s := r.pending[0]
 	path := filepath.Join(r.dir, s.name)
@@ -83,8 +84,8 @@
 	return file, s, nil
 }
 
-// skipSegment closes a segment whose header cannot be read and notes the damage. It returns io.EOF if the segment is
-// being created at present and is to be opened again later, and any error of the file.
+// skipSegment closes a segment whose header cannot be read and lists the damage. It returns io.EOF if the segment is
+// just being created and has to be opened again later, and any error of the file.
 func (r *Reader) skipSegment(file *os.File, s segment, headerErr error) error {
 	var size int64
 	if info, err := file.Stat(); err == nil {
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// enterSegment makes s the segment being read. The name of the first segment says where the store begins, also if
-// nothing at its beginning is intact.
+// enterSegment makes s the segment being read. The first sequence number of the store is taken from the name of the
+// first segment, even if its first frames are not intact.
 func (r *Reader) enterSegment(s segment) {
 	r.segment = s
 	if !r.position.isKnown && s.first > 0 {
@@ -121,7 +122,7 @@
 	}
 }
 
-// finishSegment closes the open segment, which does not grow any more, and notes its torn tail.
+// finishSegment closes the open segment, which no longer grows, and lists its torn tail as damage.
 func (r *Reader) finishSegment() error {
 	if size := r.scan.trailingBytes(); size > 0 {
 		r.damages.add(Damage{
--- a/internal/record/recover.go
+++ b/internal/record/recover.go
@@ -42,8 +42,8 @@
 // recoverStore finds the end of a store and prepares it for further records. Only the last segment can have a torn
 // tail (a partially written frame at its end): each other segment was synced before the next one was created. A torn
 // tail is truncated. Damage followed by intact frames is not a torn tail: that segment is renamed (set aside), as is a
-// segment that cannot be read at all. Readers still read the intact records in it, and its sequence numbers are not used
-// again.
+// segment that cannot be read at all. Readers still read the intact records in it, and its sequence numbers are not
+// used again.
 func recoverStore(dir string) (Recovery, error) {
 	all, err := listSegments(dir)
 	if err != nil {
--- a/internal/record/scan.go
+++ b/internal/record/scan.go
@@ -6,31 +6,31 @@
 	"io"
 )
 
-// scanBufferSize is how much of a segment a scanner holds. It must exceed the size of the largest frame.
+// scanBufferSize is the size in bytes of a scanner's buffer. It must exceed the size of the largest frame.
 const scanBufferSize = 256 << 10
 
-// A scanner reads a segment frame by frame. Behind damage it finds the next intact frame.
+// A scanner reads a segment frame by frame. It skips damage up to the next intact frame.
 type scanner struct {
 	file         io.Reader
 	buf          []byte
 	start        int   // buf[start:] has not been consumed
-	offset       int64 // of buf[start] in the file
+	offset       int64 // offset of buf[start] in the file
 	seed         uint32
-	invalidBytes int64 // bytes before offset, behind the last frame, that are not a frame
+	invalidBytes int64 // bytes between the last frame and offset that are not a frame
 	isAtEnd      bool  // the last read returned nothing
 }
 
 // A scannedFrame is an intact frame of a segment.
 type scannedFrame struct {
-	payload      []byte // valid until the next call of the scanner
-	offset       int64  // of the frame in the file
-	skippedBytes int64  // bytes before it that are not a frame
+	payload      []byte // valid until the next call of a method of the scanner
+	offset       int64  // offset of the frame in the file
+	skippedBytes int64  // bytes before the frame that are not a frame
 }
 
-// end returns the offset behind the frame.
+// end returns the offset after the frame.
 func (f *scannedFrame) end() int64 { return f.offset + int64(frameSize(f.payload)) }
 
-// readHeader reads the header. It returns the errors of decodeHeader and of the file.
+// readHeader reads the header. It returns an error of decodeHeader or of the file.
 func (s *scanner) readHeader() (Header, error) {
 	for len(s.buf)-s.start < headerSize && !s.isAtEnd {
 		if err := s.fill(); err != nil {
@@ -46,8 +46,8 @@
 	return h, nil
 }
 
-// next returns the next intact frame. At the end of the file it returns io.EOF and stays before what may be a frame
-// that is being written; it may be called again when the file has grown.
+// next returns the next intact frame. At the end of the file it returns io.EOF without consuming bytes that may be
+// a partially written frame, so it may be called again after the file has grown.
 func (s *scanner) next() (scannedFrame, error) {
 	s.isAtEnd = false
 	for {
@@ -61,8 +61,8 @@
 		case status == frameInvalid:
 			s.skipInvalid(s.distanceToMark())
 		case s.isAtEnd:
-			// Either a frame that is not complete yet, or damage with a size that points past the end of the file.
-			// Behind damage there may be an intact frame.
+			// Either an incomplete frame, or damage that was parsed as a size beyond the end of the file. Damage may
+			// be followed by an intact frame.
 			distance := s.distanceToIntactFrame()
 			if distance == 0 {
 				return scannedFrame{}, io.EOF
@@ -79,10 +79,10 @@
 // trailingBytes returns how many bytes at the end of the file are not a frame.
 func (s *scanner) trailingBytes() int64 { return s.invalidBytes + int64(len(s.buf)-s.start) }
 
-// trailingOffset returns where the trailing bytes begin in the file.
+// trailingOffset returns the offset of the trailing bytes in the file.
 func (s *scanner) trailingOffset() int64 { return s.offset - s.invalidBytes }
 
-// fill reads more of the file and sets isAtEnd if there is no more.
+// fill reads more of the file into the buffer. It sets isAtEnd if the file has no more bytes.
 func (s *scanner) fill() error {
 	if s.buf == nil {
 		s.buf = make([]byte, 0, scanBufferSize)
@@ -112,7 +112,7 @@
 	s.invalidBytes += int64(n)
 }
 
-// distanceToMark returns the distance to the next byte that may begin a frame, or to the end of the buffer.
+// distanceToMark returns the distance to the next byte that may be the start of a frame, or to the end of the buffer.
 func (s *scanner) distanceToMark() int {
 	following := s.buf[s.start+1:]
 	i := bytes.IndexByte(following, frameMarkByte0)
@@ -122,7 +122,7 @@
 	return 1 + i
 }
 
-// distanceToIntactFrame returns the distance to the next intact frame in the buffer, 0 if there is none.
+// distanceToIntactFrame returns the distance to the next intact frame in the buffer, or 0 if there is none.
 func (s *scanner) distanceToIntactFrame() int {
 	unread := s.buf[s.start:]
 	for i := 1; i < len(unread); i++ {
