--- a/internal/record/find.go
+++ b/internal/record/find.go
@@ -9,23 +9,23 @@
 	"slices"
 )
 
-// A Store is the store of one instance as found on disk: one directory, or several that are copies of it made at
-// different times.
+// A Store is the store of one instance as found on disk: a directory, or several directories that are copies of the
+// store made at different times.
 type Store struct {
-	Name  string   // name of the instance, "": unknown
-	ID    uint64   // Header.Store, 0: unknown
-	Dirs  []string // the copies
-	Files int      // segments in all copies
-	Bytes int64    // their size
-	Live  bool     // a process writes to one of the copies
+	Name  string   // name of the instance; "": unknown
+	ID    uint64   // Header.Store; 0: unknown
+	Dirs  []string // directories of the copies
+	Files int      // number of segments in all copies
+	Bytes int64    // total size of these segments
+	Live  bool     // a process is writing to one of the copies
 }
 
-// agentStoreDir is the subdirectory of an instance's directory in which the agent places the store.
+// agentStoreDir is the subdirectory of an instance's directory in which the agent stores the records.
 const agentStoreDir = "records"
 
-// Find returns the stores in the given directories, sorted by name. Each directory is a store, or contains stores
-// directly. Copies of one store are recognized by its id and become one Store. A store in which nothing can be read
-// has no name; reading it reports the damage.
+// Find returns the stores in the given directories, sorted by name. Each directory is a store or contains stores as
+// subdirectories. Copies of one store are recognized by its id and returned as one Store. A store without a readable
+// header has no name; reading it reports the damage.
 func Find(paths ...string) ([]Store, error) {
 	var dirs []string
 	for _, path := range paths {
@@ -38,8 +38,8 @@
 	return groupCopies(dirs)
 }
 
-// findStoreDirs returns path if it has segments, else the stores in its subdirectories, else path if it is a store
-// without segments.
+// findStoreDirs returns path if it contains segments, otherwise the stores in its subdirectories, or path if there are
+// none and it is a store without segments.
 func findStoreDirs(path string) ([]string, error) {
 	own, err := listSegments(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return found, nil
 }
 
-// storeDirIn returns the store that a directory is, or that the agent has placed in it.
+// storeDirIn returns dir if it is a store, or else the subdirectory that the agent uses if that one is a store.
 func storeDirIn(dir string) (storeDir string, isStore bool) {
 	info, err := os.Stat(dir)
 	if err != nil || !info.IsDir() {
@@ -79,10 +79,10 @@
 	return nested, hasLockFile(nested)
 }
 
-// groupCopies returns the stores in the directories; directories with the same store id become one.
+// groupCopies returns the stores in the directories. Directories with the same store id become one Store.
 func groupCopies(dirs []string) ([]Store, error) {
 	var stores []Store
-	seen := make(map[string]bool) // resolved directories
+	seen := make(map[string]bool) // directories with symbolic links resolved
 	for _, dir := range dirs {
 		resolved, err := filepath.EvalSymlinks(dir)
 		if err == nil && seen[resolved] {
@@ -106,7 +106,7 @@
 	return stores, nil
 }
 
-// addCopy adds another copy of the store.
+// addCopy adds the directories of another copy of the store.
 func (s *Store) addCopy(other *Store) {
 	s.Dirs = append(s.Dirs, other.Dirs...)
 	s.Files += other.Files
@@ -134,8 +134,8 @@
 	return s, nil
 }
 
-// readStoreIdentity returns the instance's name and the store's id from the header of a segment, or zero values if it
-// cannot be read.
+// readStoreIdentity returns the instance's name and the store's id from the header of a segment, or zero values if the
+// header cannot be read.
 func readStoreIdentity(path string) (name string, id uint64) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/record/merge.go
+++ b/internal/record/merge.go
@@ -5,19 +5,19 @@
 	"io"
 )
 
-// A Merger reads several stores as one, in the order of the instances' own clocks. Whether two instances' clocks
-// agree on an order is for internal/incident to judge. A Merger belongs to one goroutine.
+// A Merger merges the records of several stores, ordered by the clocks of their instances. It does not correct
+// differences between these clocks; internal/incident evaluates them. A Merger may be used by only one goroutine.
 type Merger struct {
 	inputs []*mergeInput
 }
 
-// A mergeInput is one store that a Merger reads.
+// A mergeInput is a store that a Merger reads.
 type mergeInput struct {
 	union *Union
 	next  lookahead
 }
 
-// OpenStores opens stores to be read as one.
+// OpenStores opens the stores for merging.
 func OpenStores(stores []Store) (*Merger, error) {
 	m := &Merger{}
 	for _, s := range stores {
@@ -39,8 +39,8 @@
 	return err
 }
 
-// Next reads the next record and the header of its segment. It returns io.EOF at the end of all stores; if one is
-// still being written, Next may be called again later.
+// Next reads the next record and the header of its segment. It returns io.EOF at the end of all stores; if a store
+// is still being written, Next may be called again later.
 func (m *Merger) Next(rec *Record, h *Header) error {
 	var earliest *mergeInput
 	for _, input := range m.inputs {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// readAhead reads the input's next record unless that was done before.
+// readAhead reads the input's next record unless it has already been read.
 func (i *mergeInput) readAhead() error {
 	if i.next.isValid {
 		return nil
--- a/internal/record/show.go
+++ b/internal/record/show.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// jsonRecord is the JSON form of a record. Times are RFC 3339 with nanoseconds, durations seconds.
+// jsonRecord is the JSON form of a record. Times are in RFC 3339 format with nanoseconds, durations in seconds.
 type jsonRecord struct {
 	Instance string   `json:"instance"`
 	Boot     string   `json:"boot"`
@@ -76,7 +76,7 @@
 	return j
 }
 
-// setKindFields sets the fields that are printed for some kinds only, and there also if they are 0.
+// setKindFields sets the fields that are printed only for some kinds, and for these even if they are 0.
 func (r *Record) setKindFields(j *jsonRecord) {
 	if r.hasAttempt() {
 		j.Attempt = &r.Attempt
@@ -95,7 +95,8 @@
 
 func formatJSONTime(t Time) string { return Unix(t).Format(time.RFC3339Nano) }
 
-// jsonNumber returns v for JSON: nil, which is left out, for 0, and "none" for what JSON has no number for.
+// jsonNumber returns the JSON value of v: nil, which is omitted, for 0, and "none" for an infinity or NaN, which JSON
+// cannot represent.
 func jsonNumber(v float64) any {
 	if v == 0 {
 		return nil
@@ -106,12 +107,12 @@
 	return v
 }
 
-// hasAttempt reports whether Attempt has a meaning for the record's kind wherever it is printed.
+// hasAttempt reports whether Attempt is printed for the record's kind, even if it is 0.
 func (r *Record) hasAttempt() bool {
 	return r.Kind == KindAttemptStarted || r.Kind == KindAttemptEnded || r.Kind == KindAnswer
 }
 
-// flagName returns the printed name of the record's Flag by its kind, "" if it is not set.
+// flagName returns the name under which the Flag of the record's kind is printed, or "" if it is not set.
 func (r *Record) flagName() string {
 	if !r.Flag {
 		return ""
@@ -128,10 +129,10 @@
 	}
 }
 
-// lineTimeFormat is the time format of Record.Line, in microseconds.
+// lineTimeFormat is the time format of Record.Line, with microseconds.
 const lineTimeFormat = "2006-01-02T15:04:05.000000Z"
 
-// Line returns a record as one line for people. It contains no control characters.
+// Line returns a record as one human-readable line without control characters.
 func (r *Record) Line(h *Header) string {
 	var l lineBuilder
 	at := Unix(r.At).Format(lineTimeFormat)
@@ -173,7 +174,7 @@
 	text strings.Builder
 }
 
-// field appends " name=value", with the value quoted if need be, unless the value is empty.
+// field appends " name=value" unless the value is empty. It quotes a value that contains spaces or quotes.
 func (l *lineBuilder) field(name, value string) {
 	if value == "" {
 		return
@@ -185,7 +186,7 @@
 	fmt.Fprintf(&l.text, " %s=%s", name, value)
 }
 
-// duration appends a duration unless it is 0.
+// duration appends a field with a duration unless it is 0.
 func (l *lineBuilder) duration(name string, d time.Duration) {
 	if d != 0 {
 		l.field(name, d.String())
--- a/internal/record/union.go
+++ b/internal/record/union.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// A Union reads the copies of one store as one: a record that any copy has is returned, and a gap remains only where
-// all copies have one. A Union belongs to one goroutine.
+// A Union merges the copies of one store: it returns each record that any copy contains, and a gap only where no copy
+// has a record. A Union may be used by only one goroutine.
 type Union struct {
 	copies    []*storeCopy
 	position  readPosition
@@ -14,14 +14,14 @@
 	conflicts uint64
 }
 
-// A lookahead is the next record of an input with the header of its segment.
+// A lookahead is the next record of an input, read in advance, with the header of its segment.
 type lookahead struct {
 	record  Record
 	header  Header
-	isValid bool // false: to be read
+	isValid bool // false: the next record has to be read first
 }
 
-// A storeCopy is one copy of the store that a Union reads.
+// A storeCopy is a copy of the store that a Union reads.
 type storeCopy struct {
 	reader *Reader
 	next   lookahead
@@ -52,7 +52,7 @@
 // Header returns the header of the segment that the last record came from.
 func (u *Union) Header() *Header { return &u.header }
 
-// Readers returns the readers of the copies, for their damages.
+// Readers returns the readers of the copies, which report the damage in them.
 func (u *Union) Readers() []*Reader {
 	readers := make([]*Reader, len(u.copies))
 	for i, c := range u.copies {
@@ -61,11 +61,11 @@
 	return readers
 }
 
-// Conflicts returns how many sequence numbers have different records in two copies: a copy replaced the store and
-// was written to. The records of the first copy are returned.
+// Conflicts returns how many sequence numbers have different records in two copies. This happens if a copy replaced the
+// store and was written to. Next returns the records of the first copy.
 func (u *Union) Conflicts() uint64 { return u.conflicts }
 
-// Next reads the next record, as Reader.Next. It returns io.EOF at the end of all copies.
+// Next reads the next record, like Reader.Next. It returns io.EOF at the end of all copies.
 func (u *Union) Next(rec *Record) error {
 	source, err := u.selectCopy()
 	if err != nil {
@@ -82,7 +82,7 @@
 	case next.record.Kind == KindGap:
 		*rec = next.record
 		rec.Seq = u.endOfGap(source)
-		// The rest of the gap follows, unless another copy has its records.
+		// The rest of the gap remains in the lookahead, in case no other copy has its records.
 		next.record.From = rec.Seq + 1
 		next.isValid = next.record.From <= next.record.Seq
 	default:
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// selectCopy returns the copy with the least next sequence number, nil at the end of all. At the same number a record
-// takes precedence over a gap. It counts conflicts.
+// selectCopy returns the copy with the lowest next sequence number, or nil at the end of all copies. If the numbers are
+// equal, a record takes precedence over a gap. It counts conflicts.
 func (u *Union) selectCopy() (*storeCopy, error) {
 	var selected *storeCopy
 	for _, c := range u.copies {
@@ -114,7 +114,7 @@
 	return selected, nil
 }
 
-// precedes reports whether the record of l is to be returned before the record of other.
+// precedes reports whether the record of l must be returned before the record of other.
 func (l *lookahead) precedes(other *lookahead) bool {
 	first, otherFirst := l.record.firstSeq(), other.record.firstSeq()
 	if first != otherFirst {
@@ -129,7 +129,7 @@
 	return !haveGap && l.record.Seq == other.record.Seq && l.header.RunID != other.header.RunID
 }
 
-// missingBefore returns the gap before a record: one copy ends before the next begins.
+// missingBefore returns the gap before a record, for sequence numbers that no copy contains.
 func (u *Union) missingBefore(next *Record) Record {
 	return Record{
 		Kind:  KindGap,
@@ -141,8 +141,8 @@
 	}
 }
 
-// endOfGap returns the last sequence number of the gap of source that no other copy can fill: the gap ends before
-// another copy's next record, and with a shorter gap of another copy that begins at the same number.
+// endOfGap returns the last sequence number up to which no other copy can fill the gap of source. The gap ends before
+// the next record of another copy, or where a gap of another copy ends that begins at the same number and is shorter.
 func (u *Union) endOfGap(source *storeCopy) uint64 {
 	first := source.next.record.firstSeq()
 	end := source.next.record.Seq
@@ -160,7 +160,8 @@
 	return end
 }
 
-// readAhead makes c.next the copy's next record behind the last one returned, invalid at its end.
+// readAhead sets c.next to the copy's first record after the last one returned. At the end of the copy c.next is
+// invalid.
 func (u *Union) readAhead(c *storeCopy) error {
 	for {
 		isPassed := u.position.isKnown && c.next.record.Seq <= u.position.seq
