--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// benchmarkOptions returns options under which the writer, not the retention, is measured.
+// benchmarkOptions returns options with limits so large that retention does not affect the measurement.
 func benchmarkOptions(dir string) Options {
 	o := testOptions(dir)
 	o.SegmentBytes = 64 << 20
@@ -27,7 +27,7 @@
 	_ = l.Close(time.Minute)
 }
 
-// BenchmarkWriter measures how many records a second become durable.
+// BenchmarkWriter measures how many records per second become durable.
 func BenchmarkWriter(b *testing.B) {
 	o := benchmarkOptions(b.TempDir())
 	o.QueueBytes = 4 << 20
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -31,7 +31,7 @@
 	if got := Printable("a\n\x1b[2J\xff\u009bé"); got != "a\ufffd\ufffd[2J\ufffd\ufffdé" {
 		t.Errorf("%q", got)
 	}
-	if got := Printable("\u009b2J"); got != "\ufffd2J" { // CSI, in a string that is otherwise clean
+	if got := Printable("\u009b2J"); got != "\ufffd2J" { // CSI in an otherwise printable string
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/record/damage_test.go
+++ b/internal/record/damage_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// A damagedSegment is a segment after a damage that a test has drawn.
+// A damagedSegment is a copy of a segment with random damage.
 type damagedSegment struct {
 	data      []byte
 	isRemoved bool
-	isLost    []bool // by frame: it is not intact any more
+	isLost    []bool // by frame index: the frame is no longer intact
 }
 
-// drawDamage damages a copy of a segment.
+// drawDamage returns a copy of a segment with a random kind of damage.
 func drawDamage(rt *rapid.T, s *testSegment) damagedSegment {
 	d := damagedSegment{data: slices.Clone(s.data), isLost: make([]bool, len(s.frames))}
 	kinds := []string{"nothing", "flip", "flips", "cut", "remove", "header", "zeros"}
@@ -42,7 +42,7 @@
 		to := rapid.IntRange(from+1, len(d.data)).Draw(rt, "to")
 		clear(d.data[from:to])
 		d.loseChangedFrames(s)
-	case "header": // the other copy of the header suffices
+	case "header": // the second copy of the header remains intact
 		d.data[rapid.IntRange(0, headerCopySize-1).Draw(rt, "at")] ^= 1
 	case "remove":
 		d.isRemoved = true
@@ -51,15 +51,15 @@
 	return d
 }
 
-// loseFramesFrom marks the frames from an index on as lost.
+// loseFramesFrom marks the frames from the given index on as lost.
 func (d *damagedSegment) loseFramesFrom(first int) {
 	for i := first; i < len(d.isLost); i++ {
 		d.isLost[i] = true
 	}
 }
 
-// loseChangedFrames marks the frames that differ from the original: two flips may cancel each other, and zeros may
-// replace zeros.
+// loseChangedFrames marks the frames that differ from the original as lost. Damage may leave a frame unchanged: two
+// flips can cancel each other out, and zeros can replace zeros.
 func (d *damagedSegment) loseChangedFrames(original *testSegment) {
 	for i := range original.frames {
 		if !slices.Equal(original.frameData(d.data, i), original.frameData(original.data, i)) {
@@ -68,14 +68,15 @@
 	}
 }
 
-// Any flip, truncation or removal yields exactly the records that are intact, and gaps for exactly the others that
-// have an intact one behind them, from the sequence number on that the first remaining file names.
+// TestAnyDamage checks that a reader of a store with random bit flips, truncated, zeroed or removed segments returns
+// exactly the intact records, and gaps for exactly the lost records that precede an intact one. Reading starts at the
+// sequence number in the name of the first remaining file.
 func TestAnyDamage(t *testing.T) {
 	const records = 300
 	store := writeStore(t, records)
 	rapid.Check(t, func(rt *rapid.T) {
-		var isLost []bool // by sequence number - 1
-		firstSeq := 0     // that a remaining file names; 0: no file remains
+		var isLost []bool // index: sequence number - 1
+		firstSeq := 0     // in the name of the first remaining file; 0: none remains
 		for i := range store.segments {
 			s := &store.segments[i]
 			damaged := drawDamage(rt, s)
@@ -101,7 +102,7 @@
 	})
 }
 
-// expectedSummaries returns what a reader yields from number firstSeq on. Gaps have no cause.
+// expectedSummaries returns the expected summaries from sequence number firstSeq on, with gaps without a cause.
 func expectedSummaries(isLost []bool, firstSeq int) []string {
 	var want []string
 	gapFrom := 0
@@ -121,7 +122,7 @@
 	return want
 }
 
-// withoutCauses removes the causes from the summaries of gaps.
+// withoutCauses returns the lines with the causes removed from the summaries of gaps.
 func withoutCauses(lines []string) []string {
 	stripped := slices.Clone(lines)
 	for i, line := range stripped {
--- a/internal/record/diskfailure_test.go
+++ b/internal/record/diskfailure_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// A diskFailure says how a faultyDisk fails. The zero value is a disk that works.
+// A diskFailure describes how a faultyDisk fails. The zero value is a working disk.
 type diskFailure struct {
 	write    func(p []byte) (int, error) // replaces File.Write
 	sync     error
 	create   error
 	truncate error
-	hang     chan struct{} // writes wait until it is closed
+	hang     chan struct{} // if not nil, writes block until it is closed
 }
 
-// A faultyDisk is a disk whose failure a test sets.
+// A faultyDisk is a Disk with failures that a test injects.
 type faultyDisk struct {
 	Disk
 	mu      sync.Mutex
 	failure diskFailure
 }
 
-// setFailure sets how the disk fails from now on.
+// setFailure sets the failure of all following operations.
 func (d *faultyDisk) setFailure(f diskFailure) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,25 +78,25 @@
 	return f.File.Truncate(size)
 }
 
-// writeHalf returns a write function that writes half of the bytes and fails.
+// writeHalf returns a write function that writes half of the bytes and returns err.
 func writeHalf(err error) func(p []byte) (int, error) {
 	return func(p []byte) (int, error) { return len(p) / 2, err }
 }
 
-// Whatever the disk does, no sequence number is missing without a gap that names the cause, what fits the queue is
-// not lost, and Put goes on.
+// TestDiskFails checks that for every kind of disk failure each missing sequence number is in a gap with the right
+// cause, records that fit in the queue are not lost, and Put still accepts records.
 func TestDiskFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		failure diskFailure
 		cause   GapCause
 	}{
-		"full, in the middle of a frame":     {diskFailure{write: writeHalf(syscall.ENOSPC)}, DiskFull},
-		"an I/O error that can't be cut":     {diskFailure{write: writeHalf(syscall.EIO), truncate: syscall.EIO}, DiskFailed},
-		"read-only":                          {diskFailure{sync: syscall.EROFS, create: syscall.EROFS}, DiskReadOnly},
-		"a sync that fails after a write":    {diskFailure{sync: syscall.EIO, truncate: syscall.EIO}, DiskFailed},
-		"slow for longer than there is room": {diskFailure{hang: make(chan struct{})}, QueueFull},
+		"full in the middle of a frame": {diskFailure{write: writeHalf(syscall.ENOSPC)}, DiskFull},
+		"I/O error and truncate fails":  {diskFailure{write: writeHalf(syscall.EIO), truncate: syscall.EIO}, DiskFailed},
+		"read-only":                     {diskFailure{sync: syscall.EROFS, create: syscall.EROFS}, DiskReadOnly},
+		"sync fails after a write":      {diskFailure{sync: syscall.EIO, truncate: syscall.EIO}, DiskFailed},
+		"hangs until the queue is full": {diskFailure{hang: make(chan struct{})}, QueueFull},
 	} {
-		for _, records := range []int{50, 5000} { // within the queue, and past it
+		for _, records := range []int{50, 5000} { // fits in the queue, exceeds the queue
 			t.Run(fmt.Sprint(name, " ", records), func(t *testing.T) {
 				failure := c.failure
 				if failure.hang != nil {
@@ -108,8 +108,9 @@
 	}
 }
 
-// Records that the writer has read from the queue and not written yet are not released: they survive a failed write,
-// also if the batch spans more than the part of the queue after which the writer syncs.
+// TestUnwrittenBatchStaysInTheQueue checks that records that the writer has read from the queue but not written yet are
+// not released, so that a failed write does not lose them. The batch is larger than the quarter of the queue after
+// which the writer syncs: a sync of a batch that is not flushed would release its records.
 func TestUnwrittenBatchStaysInTheQueue(t *testing.T) {
 	const records = 400
 	o := testOptions(t.TempDir())
@@ -128,11 +129,11 @@
 		l.Put(sampleRecord(i))
 	}
 	if used := l.queue.usedBytes(); used <= l.queue.size()/4 || used >= batchSize {
-		t.Fatalf("%d bytes in a queue of %d", used, l.queue.size())
+		t.Fatalf("%d bytes used of a queue of %d, want more than a quarter and less than a batch", used, l.queue.size())
 	}
-	waitUntil(t, "the failure shows", func() bool { return l.Failing() == DiskFailed })
+	waitUntil(t, "the failure is reported", func() bool { return l.Failing() == DiskFailed })
 	if l.Written() > 0 {
-		t.Errorf("%d records are reported as durable, and none was written", l.Written())
+		t.Errorf("%d records are reported as durable, but none was written", l.Written())
 	}
 	disk.setFailure(diskFailure{})
 	waitUntil(t, "the disk works again", func() bool { return l.Failing() == NoGap && l.queue.usedBytes() == 0 })
@@ -144,7 +145,7 @@
 	checkComplete(t, lines, records, 0, NoGap)
 }
 
-// testDiskFailure puts records before, during and after a failure of the disk.
+// testDiskFailure puts records before, during and after a disk failure, and checks the stored records.
 func testDiskFailure(t *testing.T, failure diskFailure, cause GapCause, records int) {
 	o := testOptions(t.TempDir())
 	disk := &faultyDisk{Disk: directory(o.Dir)}
@@ -158,15 +159,15 @@
 		}
 	}
 	put(20)
-	waitUntil(t, "the first are durable", func() bool { return l.Written() == 20 })
+	waitUntil(t, "the first records are durable", func() bool { return l.Written() == 20 })
 	disk.setFailure(failure)
 	put(20)
 	if failure.hang == nil {
-		waitUntil(t, "the failure shows", func() bool { return l.Failing() == cause })
+		waitUntil(t, "the failure is reported", func() bool { return l.Failing() == cause })
 	}
 	put(records)
 	if (l.Lost() > 0) != (records == 5000) {
-		t.Errorf("%d lost of %d", l.Lost(), records)
+		t.Errorf("lost %d of %d records", l.Lost(), records)
 	}
 	disk.setFailure(diskFailure{})
 	if failure.hang != nil {
@@ -178,16 +179,16 @@
 	closeLog(t, l)
 	lines, r := readAll(t, o.Dir)
 	checkComplete(t, lines, total, lost, cause)
-	// The failure may leave damage in a file, never records that are lost without the log's gap.
+	// The failure may leave damage in a file, but all lost records must be in gaps written by the log.
 	for _, damage := range r.damages.list {
 		if damage.From > 0 {
-			t.Errorf("the reader misses records itself: %+v", damage)
+			t.Errorf("records lost without a gap written by the log: %+v", damage)
 		}
 	}
 }
 
-// checkComplete checks that the lines hold all sequence numbers up to total, as sample records or in gaps of the
-// given cause, and that the gaps stand for as many records as were lost.
+// checkComplete checks that the lines contain all sequence numbers up to total, as sample records or in gaps with the
+// given cause, and that the gaps cover as many records as were lost.
 func checkComplete(t *testing.T, lines []string, total int, lost uint64, wantCause GapCause) {
 	t.Helper()
 	next, inGaps := uint64(1), uint64(0)
@@ -213,6 +214,6 @@
 		next = to + 1
 	}
 	if next != uint64(total+1) || inGaps != lost {
-		t.Errorf("ends with %d of %d; %d in gaps, %d lost", next-1, total, inGaps, lost)
+		t.Errorf("last record %d, want %d; %d records in gaps, want %d", next-1, total, inGaps, lost)
 	}
 }
--- a/internal/record/fixture_test.go
+++ b/internal/record/fixture_test.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/testutil"
 )
 
-// testStart is the start of the program in tests.
+// testStart is the start time of the program in tests.
 const testStart = Time(1_700_000_000_000_000_000)
 
 func TestMain(m *testing.M) { testutil.Main(m) }
@@ -48,7 +48,7 @@
 	}
 }
 
-// sampleRecord returns a record that differs from those of other indexes.
+// sampleRecord returns a record that is different for each index.
 func sampleRecord(i int) *Record {
 	return &Record{
 		Kind:    Kind(int(KindCallOffered) + i%5),
@@ -63,7 +63,7 @@
 	}
 }
 
-// summary returns a record in the form in which tests compare it.
+// summary returns the text form of a record that tests compare.
 func summary(r *Record) string {
 	if r.Kind == KindGap {
 		return fmt.Sprintf("gap %d-%d %v", r.From, r.Seq, GapCause(r.Code))
@@ -71,14 +71,14 @@
 	return fmt.Sprintf("%d %v %s", r.Seq, r.Kind, r.Call)
 }
 
-// sampleSummary returns the summary of the sample record that a test has put as number seq.
+// sampleSummary returns the summary of the sample record with sequence number seq.
 func sampleSummary(seq int) string {
 	r := sampleRecord(seq - 1)
 	r.Seq = uint64(seq)
 	return summary(r)
 }
 
-// readAll returns the summaries of all records in a store, and the reader for its damages.
+// readAll returns the summaries of all records in a store, and the reader, which lists the damage.
 func readAll(t testing.TB, dir string) (lines []string, r *Reader) {
 	t.Helper()
 	r, err := OpenDir(dir)
@@ -99,7 +99,7 @@
 	}
 }
 
-// firstDifference describes the first difference between two lists, and returns "" if they are equal.
+// firstDifference describes the first difference between two lists, or returns "" if they are equal.
 func firstDifference(got, want []string) string {
 	const context = 3
 	for i := range max(len(got), len(want)) {
@@ -113,17 +113,17 @@
 	return ""
 }
 
-// waitUntil waits until a condition holds, and fails the test if it does not hold in time.
+// waitUntil waits until a condition is true, and fails the test after a timeout.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", description)
+			t.Fatalf("timeout while waiting until %s", description)
 		}
 	}
 }
 
-// A testStore is a store that a test has written.
+// A testStore is a store written by a test.
 type testStore struct {
 	dir      string
 	segments []testSegment
@@ -136,7 +136,7 @@
 	frames []int // offsets of the frames
 }
 
-// frameAt returns the index of the frame that an offset is in.
+// frameAt returns the index of the frame that contains an offset.
 func (s *testSegment) frameAt(offset int) int {
 	i, isStart := slices.BinarySearch(s.frames, offset)
 	if !isStart {
@@ -145,7 +145,7 @@
 	return i
 }
 
-// frameData returns the bytes of a frame in data, a copy of the segment that was changed but not truncated.
+// frameData returns the bytes of a frame in data, a copy of the segment that may be changed but not truncated.
 func (s *testSegment) frameData(data []byte, i int) []byte {
 	end := len(data)
 	if i+1 < len(s.frames) {
@@ -157,7 +157,7 @@
 // lastSegment returns the last segment of the store.
 func (s *testStore) lastSegment() *testSegment { return &s.segments[len(s.segments)-1] }
 
-// writeStore writes a store of sample records.
+// writeStore writes a store with the given number of sample records.
 func writeStore(t testing.TB, records int) testStore {
 	t.Helper()
 	s := testStore{dir: t.TempDir()}
@@ -192,7 +192,7 @@
 		s.frames = append(s.frames, offset)
 		payload, status := parseFrame(data[offset:], frameSeed(h.Nonce))
 		if status != frameIntact {
-			t.Fatal("a store that was written is damaged")
+			t.Fatal("a newly written store is damaged")
 		}
 		offset += frameSize(payload)
 	}
