--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -16,7 +16,7 @@
 
 var goldenStore = filepath.Join("testdata", "golden", "store")
 
-// Fixed numbers in place of those that a writer draws at random.
+// Fixed values for the numbers that a writer generates randomly.
 const (
 	goldenStoreID    = 0x5707_0000_0000_0001
 	goldenFirstRunID = 0xb007_0000_0000_0001
@@ -28,8 +28,8 @@
 	goldenServer = "s-1"
 )
 
-// goldenRuns returns the records of two runs of one instance: all kinds, all codes of the kinds that have codes, and
-// a kind and codes that a newer program may write.
+// goldenRuns returns the records of two runs of one instance. They contain all kinds, all codes of the kinds that have
+// codes, and a kind and codes that are unknown, as a newer program may write them.
 func goldenRuns() [][]Record {
 	var first []Record
 	add := func(records ...Record) {
@@ -116,16 +116,16 @@
 	}
 }
 
-// The records are written as the bytes of the committed store.
+// TestGoldenStoreIsWrittenTheSame checks that the records are encoded as the same bytes as in the golden store.
 func TestGoldenStoreIsWrittenTheSame(t *testing.T) {
 	written, fixed := t.TempDir(), t.TempDir()
 	for i, records := range goldenRuns() {
 		o := testOptions(written)
 		o.SegmentBytes = 1 << 10
 		o.StartTime = records[0].At
-		l, found := openLog(t, o)
-		if !found.Clean {
-			t.Errorf("start %d: %v", i, found)
+		l, recovery := openLog(t, o)
+		if !recovery.Clean {
+			t.Errorf("start %d: %v", i, recovery)
 		}
 		for _, r := range records {
 			l.Put(&r)
@@ -136,7 +136,8 @@
 	goldentest.CompareDir(t, goldenStore, fixed)
 }
 
-// The committed store is read as the records that were written, and printed as the committed text and JSON.
+// TestGoldenStoreIsRead checks that the golden store is decoded to the original records, and that these are printed as
+// the golden text and JSON.
 func TestGoldenStoreIsRead(t *testing.T) {
 	r, err := OpenDir(goldenStore)
 	if err != nil {
@@ -173,7 +174,7 @@
 	goldentest.CompareFile(t, filepath.Join("testdata", "golden", "records.txt"), lines)
 }
 
-// replaceRandomIDs copies a store with fixed numbers in place of those that its writer drew at random.
+// replaceRandomIDs copies a store and replaces the random numbers of its writer with fixed ones.
 func replaceRandomIDs(t *testing.T, from, to string) {
 	t.Helper()
 	all, err := listSegments(from)
@@ -191,10 +192,10 @@
 			t.Fatal(err)
 		}
 		if h.First != s.first || h.RunID != s.runID {
-			t.Errorf("the header of %s is of first record %d and boot %x", s.name, h.First, h.RunID)
+			t.Errorf("header of %s has first record %d and run id %x", s.name, h.First, h.RunID)
 		}
 		if !bytes.Equal(reframe(t, raw, &h), raw) {
-			t.Errorf("%s holds more than its header and its frames", s.name)
+			t.Errorf("%s contains bytes besides its header and frames", s.name)
 		}
 		if _, ok := runIDs[h.RunID]; !ok {
 			runIDs[h.RunID] = goldenFirstRunID + uint64(len(runIDs))
@@ -207,7 +208,7 @@
 	}
 }
 
-// reframe writes the payloads of a segment under another header.
+// reframe returns a segment with the payloads of raw under another header.
 func reframe(t *testing.T, raw []byte, h *Header) []byte {
 	t.Helper()
 	old, err := decodeHeader(raw)
--- a/internal/record/log_test.go
+++ b/internal/record/log_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// A store continues where it ended; a frame that was torn by a kill is truncated.
+// TestRestarts checks that a reopened store continues with the next sequence number, and that a frame written only
+// partially before the process was killed is truncated.
 func TestRestarts(t *testing.T) {
 	dir := t.TempDir()
 	var want []string
-	for start := range 4 { // each but the first follows a kill in the middle of a frame
+	for start := range 4 { // each start but the first follows a partially written frame
 		isFirst := start == 0
-		l, found := openLog(t, testOptions(dir))
-		if (found.TruncatedBytes == 0) != isFirst || found.Clean != isFirst || found.LastSeq != uint64(len(want)) {
-			t.Errorf("start %d: %+v", start, found)
+		l, recovery := openLog(t, testOptions(dir))
+		if (recovery.TruncatedBytes == 0) != isFirst || recovery.Clean != isFirst || recovery.LastSeq != uint64(len(want)) {
+			t.Errorf("start %d: %+v", start, recovery)
 		}
 		for i := range 100 {
 			r := sampleRecord(i)
@@ -29,15 +30,15 @@
 		closeLog(t, l)
 		appendTornFrame(t, dir)
 	}
-	l, found := openLog(t, testOptions(dir))
+	l, recovery := openLog(t, testOptions(dir))
 	l.Put(&Record{Kind: KindEnd, At: testStart})
 	want = append(want, fmt.Sprintf("%d end ", len(want)+1))
 	closeLog(t, l)
 	if got, _ := readAll(t, dir); !slices.Equal(got, want) {
-		t.Errorf("got %d lines, want %d: %q", len(got), len(want), got[max(0, len(got)-3):])
+		t.Errorf("got %d lines, want %d; the last ones: %q", len(got), len(want), got[max(0, len(got)-3):])
 	}
-	if l, found = openLog(t, testOptions(dir)); !found.Clean || found.LastSeq != uint64(len(want)) {
-		t.Errorf("after an orderly end: %+v", found)
+	if l, recovery = openLog(t, testOptions(dir)); !recovery.Clean || recovery.LastSeq != uint64(len(want)) {
+		t.Errorf("after a clean shutdown: %+v", recovery)
 	}
 	closeLog(t, l)
 }
@@ -62,14 +63,14 @@
 	l, _ := openLog(t, testOptions(dir))
 	_, _, err := Open(testOptions(dir))
 	if err == nil || !strings.Contains(err.Error(), "in use") || !errors.Is(err, ErrInUse) {
-		t.Errorf("a second writer: %v", err)
+		t.Errorf("opened by a second writer: %v", err)
 	}
 	if !Live(dir) {
-		t.Error("a store that is open is not live")
+		t.Error("an open store is not reported as live")
 	}
 	closeLog(t, l)
 	if Live(dir) {
-		t.Error("a store that is closed is live")
+		t.Error("a closed store is reported as live")
 	}
 }
 
@@ -86,11 +87,11 @@
 	var rec Record
 	for i := range records {
 		l.Put(sampleRecord(i))
-		if i == 5 { // the reader has a segment open that is removed later
-			waitUntil(t, "a live store is read", func() bool { return r.Next(&rec) == nil })
+		if i == 5 { // the reader opens a segment that is removed later
+			waitUntil(t, "a record is read while the store is written", func() bool { return r.Next(&rec) == nil })
 		}
 		if i%100 == 0 {
-			waitUntil(t, "they are durable", func() bool { return l.Written() == uint64(i+1) })
+			waitUntil(t, "the records are durable", func() bool { return l.Written() == uint64(i+1) })
 			if size := directorySize(t, o.Dir); size > o.TotalBytes {
 				t.Fatalf("%d bytes on disk, more than %d", size, o.TotalBytes)
 			}
@@ -110,11 +111,11 @@
 		nextSeq = rec.Seq + 1
 	}
 	if nextSeq != records+1 || gaps != 1 {
-		t.Errorf("ends with %d, %d gaps", nextSeq-1, gaps)
+		t.Errorf("last record %d, %d gaps; want all records and 1 gap", nextSeq-1, gaps)
 	}
 }
 
-// If all segments are too old, the next one is the only one that remains.
+// TestRetentionByAge checks that only the new segment remains if all others are too old.
 func TestRetentionByAge(t *testing.T) {
 	store := writeStore(t, 300)
 	if len(store.segments) < 2 {
@@ -146,7 +147,7 @@
 	return size
 }
 
-// A store is read while it is written, record by record and across segments.
+// TestTail checks that a store is read while it is being written, record by record and across segments.
 func TestTail(t *testing.T) {
 	o := testOptions(t.TempDir())
 	l, _ := openLog(t, o)
@@ -177,9 +178,9 @@
 	o := testOptions(t.TempDir())
 	l, _ := openLog(t, o)
 	closeLog(t, l)
-	l, found := openLog(t, o)
-	if !found.Clean || found.LastSeq != 0 {
-		t.Errorf("%+v", found)
+	l, recovery := openLog(t, o)
+	if !recovery.Clean || recovery.LastSeq != 0 {
+		t.Errorf("%+v", recovery)
 	}
 	closeLog(t, l)
 }
@@ -191,7 +192,7 @@
 	l, _ := openLog(t, o)
 	r := sampleRecord(1)
 	if n := testing.AllocsPerRun(1000, func() { l.Put(r) }); n > 0 {
-		t.Errorf("%v allocations a record", n)
+		t.Errorf("%v allocations per record", n)
 	}
 	closeLog(t, l)
 }
--- a/internal/record/recover_test.go
+++ b/internal/record/recover_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Recovery never truncates or hides an intact record, and sequence numbers continue behind all that were used.
+// TestRecoveryOfADamagedSegment checks that recovery does not remove intact records that follow damage, and that new
+// sequence numbers are greater than all that may have been used.
 func TestRecoveryOfADamagedSegment(t *testing.T) {
 	store := writeStore(t, 20)
 	last := store.lastSegment()
@@ -19,9 +20,9 @@
 	if err := os.WriteFile(filepath.Join(store.dir, last.name), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, found := openLog(t, testOptions(store.dir))
-	if found.SetAsideFile != last.name+setAsideSuffix || found.LastSeq != 20 || found.Clean {
-		t.Errorf("%+v", found)
+	l, recovery := openLog(t, testOptions(store.dir))
+	if recovery.SetAsideFile != last.name+setAsideSuffix || recovery.LastSeq != 20 || recovery.Clean {
+		t.Errorf("%+v", recovery)
 	}
 	l.Put(sampleRecord(0))
 	closeLog(t, l)
@@ -42,7 +43,8 @@
 	testRecoveryOfANewerFormat(t, store.dir)
 }
 
-// testRecoveryOfANewerFormat changes the format version of the last segment: it is left alone and reported.
+// testRecoveryOfANewerFormat changes the format version of the last segment, and checks that recovery sets it aside and
+// that a reader reports it.
 func testRecoveryOfANewerFormat(t *testing.T, dir string) {
 	t.Helper()
 	all, err := listSegments(dir)
@@ -59,9 +61,9 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, found := openLog(t, testOptions(dir))
-	if found.SetAsideFile == "" || found.SkippedNumbers == 0 {
-		t.Errorf("%+v", found)
+	l, recovery := openLog(t, testOptions(dir))
+	if recovery.SetAsideFile == "" || recovery.SkippedNumbers == 0 {
+		t.Errorf("%+v", recovery)
 	}
 	l.Put(sampleRecord(5))
 	closeLog(t, l)
--- a/internal/record/scan_test.go
+++ b/internal/record/scan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Frames and the bytes skipped before them cover any file without a hole.
+// FuzzFrames checks that the frames, the bytes skipped before them and the trailing bytes cover any file completely.
 func FuzzFrames(f *testing.F) {
 	b := appendHeader(nil, &Header{Name: "n0", Nonce: 5, StartTime: testStart})
 	for i := range 5 {
@@ -26,12 +26,12 @@
 			frame, err := s.next()
 			if err != nil {
 				if end+s.trailingBytes() != int64(len(b)) {
-					t.Fatalf("%d bytes: the last frame ends at %d, %d are left", len(b), end, s.trailingBytes())
+					t.Fatalf("%d bytes, but the last frame ends at %d and %d bytes remain", len(b), end, s.trailingBytes())
 				}
 				return
 			}
 			if frame.offset-frame.skippedBytes != end {
-				t.Fatalf("a frame at %d behind %d bytes, the last ended at %d", frame.offset, frame.skippedBytes, end)
+				t.Fatalf("frame at %d after %d skipped bytes, but the last one ended at %d", frame.offset, frame.skippedBytes, end)
 			}
 			end = frame.end()
 		}
--- a/internal/record/union_test.go
+++ b/internal/record/union_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Copies of one store that lack different segments are read as one: a record that any copy has is returned once.
+// TestCopiesAreOne checks that copies of one store with different segments missing are merged: each record that any
+// copy contains is returned once.
 func TestCopiesAreOne(t *testing.T) {
 	store := writeStore(t, 300)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -36,7 +37,8 @@
 	})
 }
 
-// drawCopies writes copies of a store that lack some segments, and reports which segments any copy has.
+// drawCopies writes copies of a store with random segments missing, and reports for each segment whether any copy
+// contains it.
 func drawCopies(rt *rapid.T, root string, store *testStore) []bool {
 	isPresent := make([]bool, len(store.segments))
 	for i := range rapid.IntRange(1, 3).Draw(rt, "copies") {
@@ -78,8 +80,8 @@
 // expectedUnion returns the summaries of the records in the present segments and of the gaps between them.
 func expectedUnion(store *testStore, isPresent []bool) []string {
 	var want []string
-	seq := 1         // first of the segment
-	expectedSeq := 0 // number behind the last present segment; 0: there was none
+	seq := 1         // first sequence number of the segment
+	expectedSeq := 0 // sequence number after the last present segment; 0: none yet
 	for i, s := range store.segments {
 		end := seq + len(s.frames)
 		if isPresent[i] {
