--- a/internal/record/diskfailure_test.go
+++ b/internal/record/diskfailure_test.go
@@ -131,12 +131,12 @@
 	if used := l.queue.usedBytes(); used <= l.queue.size()/4 || used >= batchSize {
 		t.Fatalf("%d bytes used of a queue of %d, want more than a quarter and less than a batch", used, l.queue.size())
 	}
-	waitUntil(t, "the failure is reported", func() bool { return l.Failing() == DiskFailed })
+	waitUntil(t, "the failure is reported", func() bool { return l.FailureCause() == DiskFailed })
 	if l.Written() > 0 {
 		t.Errorf("%d records are reported as durable, but none was written", l.Written())
 	}
 	disk.setFailure(diskFailure{})
-	waitUntil(t, "the disk works again", func() bool { return l.Failing() == NoGap && l.queue.usedBytes() == 0 })
+	waitUntil(t, "the disk works again", func() bool { return l.FailureCause() == NoGap && l.queue.usedBytes() == 0 })
 	if l.Written() != records {
 		t.Errorf("%d records are reported as durable, want %d", l.Written(), records)
 	}
@@ -163,7 +163,7 @@
 	disk.setFailure(failure)
 	put(20)
 	if failure.hang == nil {
-		waitUntil(t, "the failure is reported", func() bool { return l.Failing() == cause })
+		waitUntil(t, "the failure is reported", func() bool { return l.FailureCause() == cause })
 	}
 	put(records)
 	if (l.Lost() > 0) != (records == 5000) {
@@ -173,7 +173,7 @@
 	if failure.hang != nil {
 		close(failure.hang)
 	}
-	waitUntil(t, "the disk works again", func() bool { return l.Failing() == NoGap && l.queue.usedBytes() == 0 })
+	waitUntil(t, "the disk works again", func() bool { return l.FailureCause() == NoGap && l.queue.usedBytes() == 0 })
 	put(20)
 	lost := l.Lost()
 	closeLog(t, l)
--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -157,7 +157,7 @@
 		return
 	}
 	l.dropped = droppedRange{from: r.Seq, since: r.At, cause: QueueFull}
-	if cause := l.Failing(); cause != NoGap {
+	if cause := l.FailureCause(); cause != NoGap {
 		l.dropped.cause = cause
 	}
 }
@@ -171,8 +171,8 @@
 // Records returns how many records were passed to Put. Only the event loop may call it.
 func (l *Log) Records() uint64 { return l.putCount }
 
-// Failing returns why the disk is failing, or NoGap if it works.
-func (l *Log) Failing() GapCause { return l.shared.failureCause() }
+// FailureCause returns why the disk is failing, or NoGap if it works.
+func (l *Log) FailureCause() GapCause { return l.shared.failureCause() }
 
 // Close writes the queued records and stops the writer. It waits at most for the timeout, so that a hanging disk does
 // not delay a clean shutdown, and then returns ErrCloseTimeout. Put must not be called after Close.
