--- a/internal/record/damage.go
+++ b/internal/record/damage.go
@@ -48,7 +48,7 @@
 			From:   gap.From,
 			To:     gap.Seq,
 			Cause:  Missing,
-			Text:   "the records before it are not there",
+			Text:   "the records before this file are missing",
 		})
 		return
 	}
