--- a/internal/record/codes.go
+++ b/internal/record/codes.go
@@ -74,7 +74,7 @@
 // String returns the stored name.
 func (g GapCause) String() string { return storedName(gapCauseNames, g) }
 
-// MarshalText returns the stored name, as encoding.TextMarshaler.
+// MarshalText returns the stored name. It implements encoding.TextMarshaler.
 func (g GapCause) MarshalText() ([]byte, error) { return []byte(g.String()), nil }
 
 // CodeName returns the stored name of the record's Code, or "" where the kind has no codes.
