--- a/internal/record/header.go
+++ b/internal/record/header.go
@@ -12,7 +12,7 @@
 
 // A segment begins with two copies of its header. The layout of a copy in bytes, integers little-endian:
 //
-//	magic 6, version 2, payload size 2, CRC32C of the preceding fields and the payload 4, payload (message Header), zeros
+//	magic 6, version 2, payload size 2, CRC32C of these fields and the payload 4, payload (message Header), zeros
 const (
 	formatVersion     = 1
 	headerCopySize    = 256
@@ -58,7 +58,7 @@
 	Version int // format version of the segment
 }
 
-// Error describes both format versions.
+// Error names the segment's format version and the newest supported one.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("format version %d; this program reads up to %d", e.Version, formatVersion)
 }
--- a/internal/record/log.go
+++ b/internal/record/log.go
@@ -41,7 +41,7 @@
 	dropped  droppedRange
 	encoded  []byte // buffer for the encoded record
 
-	lost   atomic.Uint64 // records replaced by the gaps of this Log
+	lost   atomic.Uint64 // lost records, whose ranges are in gaps written by this Log
 	queue  *ringQueue
 	shared *writerState
 }
@@ -150,7 +150,7 @@
 	return true
 }
 
-// drop counts a dropped record and adds it to the dropped range.
+// drop counts a dropped record. The first one begins a droppedRange, which includes all that follow.
 func (l *Log) drop(r *Record) {
 	l.lost.Add(1)
 	if !l.dropped.isEmpty() {
@@ -162,7 +162,7 @@
 	}
 }
 
-// Lost returns how many records have been replaced by gaps since the start.
+// Lost returns how many records were lost since the start; gap records give their ranges.
 func (l *Log) Lost() uint64 { return l.lost.Load() }
 
 // Written returns how many records have been made durable since the start.
