--- a/internal/numbering/compile.go
+++ b/internal/numbering/compile.go
@@ -6,64 +6,64 @@
 	"os"
 )
 
-// Deployment is the deployment that rules have to fit.
+// Deployment describes the deployment that rules are checked against.
 type Deployment struct {
 	Classes []Class
-	Now     Time // routes are checked for gaps within a year from this time
+	Now     Time // routes are checked for times without a target within a year from this time
 }
 
-// Class is a class of calls with the pools that can take it; nil: all.
+// Class is a class of calls.
 type Class struct {
 	Name  string
-	Pools []int
+	Pools []int // that can take its calls; nil: all
 }
 
-// defaultMaxDigits is the greatest length of an E.164 number.
+// defaultMaxDigits is the maximum length of an E.164 number.
 const defaultMaxDigits = 15
 
-// maxRuleErrors bounds the errors that Compile reports for a set of rules.
+// maxRuleErrors limits the number of errors that Compile reports for a set of rules.
 const maxRuleErrors = 100
 
 // RuleError is an error in one entry of the rules.
 type RuleError struct {
-	Entry string // kind, number and key of the entry: "prefix 3 (569)"
+	Entry string // kind, position and key of the entry, such as "prefix 3 (569)"
 	Err   error
 }
 
 // Error implements error.
 func (e *RuleError) Error() string { return e.Entry + ": " + e.Err.Error() }
 
-// Unwrap returns the error without its entry.
+// Unwrap returns the error without the name of the entry.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// CompileFile reads and compiles a file of rules and returns its text as well. With a million prefixes it takes
-// seconds, so it must not run on an event loop.
-func CompileFile(path string, env Deployment) (*Table, []byte, error) {
+// CompileFile reads and compiles a rules file and also returns its text. It takes seconds for a million prefixes, so it
+// must not run on an event loop.
+func CompileFile(path string, deployment Deployment) (*Table, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("numbers: %w", err)
 	}
-	t, err := CompileText(text, env)
+	t, err := CompileText(text, deployment)
 	if err != nil {
 		return nil, nil, fmt.Errorf("numbers: %s: %w", path, err)
 	}
 	return t, text, nil
 }
 
-// CompileText parses and compiles the text of a file of rules.
-func CompileText(text []byte, env Deployment) (*Table, error) {
+// CompileText parses and compiles the text of a rules file.
+func CompileText(text []byte, deployment Deployment) (*Table, error) {
 	rules, err := Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	return Compile(rules, env)
+	return Compile(rules, deployment)
 }
 
-// Compile makes a Table of rules. The error joins a RuleError for each of the first hundred errors in the rules.
-func Compile(r *Rules, env Deployment) (*Table, error) {
-	c := newCompiler(r, env)
+// Compile compiles rules into a Table. The error joins a RuleError for each of the first hundred errors in the rules.
+func Compile(r *Rules, deployment Deployment) (*Table, error) {
+	c := newCompiler(r, deployment)
 	c.checkSizes()
-	if len(c.errs) > 0 { // rules of that size are not looked at
+	if len(c.errs) > 0 { // rules over the limits are not examined further
 		return nil, errors.Join(c.errs...)
 	}
 	c.compileConditions()
@@ -84,19 +84,19 @@
 	return c.table, nil
 }
 
-// compiler fills a table from rules and collects the errors.
+// compiler builds a table from rules and collects the errors in them.
 type compiler struct {
 	rules          *Rules
-	env            Deployment
+	deployment     Deployment
 	table          *Table
 	errs           []error
-	routes         map[string]int32 // indexes by name
-	conditions     map[string]int32
+	routes         map[string]int32 // indexes into table.routes by name
+	conditions     map[string]int32 // indexes into table.conditions by name
 	usedRoutes     map[string]bool
 	usedConditions map[string]bool
 }
 
-func newCompiler(r *Rules, env Deployment) *compiler {
+func newCompiler(r *Rules, deployment Deployment) *compiler {
 	t := &Table{
 		Version:      r.Version,
 		maxDigits:    r.MaxDigits,
@@ -108,7 +108,7 @@
 	}
 	return &compiler{
 		rules:          r,
-		env:            env,
+		deployment:     deployment,
 		table:          t,
 		routes:         make(map[string]int32),
 		conditions:     make(map[string]int32),
@@ -117,14 +117,14 @@
 	}
 }
 
-// addError reports an error in an entry.
+// addError records an error in an entry. Errors beyond maxRuleErrors are dropped.
 func (c *compiler) addError(entry, format string, args ...any) {
 	if len(c.errs) < maxRuleErrors {
 		c.errs = append(c.errs, &RuleError{entry, fmt.Errorf(format, args...)})
 	}
 }
 
-// entryName names an entry of the rules in errors; index counts from 0.
+// entryName returns the name of an entry in error messages; index counts from 0.
 func entryName(kind string, index int, key string) string {
 	return fmt.Sprintf("%s %d (%s)", kind, index+1, key)
 }
@@ -145,20 +145,20 @@
 
 func (c *compiler) checkSize(kind string, count, limit int) {
 	if count > limit {
-		c.addError(kind, "%d entries are more than %d", count, limit)
+		c.addError(kind, "%d entries; the limit is %d", count, limit)
 	}
 }
 
-// checkUnused reports routes and conditions that no entry names.
+// checkUnused reports routes and conditions that no entry refers to.
 func (c *compiler) checkUnused() {
 	for i, x := range c.rules.Route {
 		if !c.usedRoutes[x.Name] {
-			c.addError(entryName("route", i, x.Name), "nothing leads to it")
+			c.addError(entryName("route", i, x.Name), "unused: no entry refers to this route")
 		}
 	}
 	for i, x := range c.rules.When {
 		if !c.usedConditions[x.Name] {
-			c.addError(entryName("when", i, x.Name), "no target names it")
+			c.addError(entryName("when", i, x.Name), "unused: no target refers to this condition")
 		}
 	}
 }
--- a/internal/numbering/compile_test.go
+++ b/internal/numbering/compile_test.go
@@ -10,13 +10,13 @@
 	defaultRoute = "default = \"r\"\n" + oneRoute
 )
 
-// Each error names its entry.
+// Each error in rules names the entry that contains it.
 func TestCompileErrors(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"unused route": {oneRoute, "route 1 (r): nothing leads to it"},
+		"unused route": {oneRoute, "route 1 (r): unused: no entry refers to this route"},
 		"duplicate prefix": {
 			oneRoute + "[[prefix]]\nprefix = \"1\"\nroute = \"r\"\n[[prefix]]\nprefix = \"1\"\nroute = \"r\"\n",
-			"prefix 2 (1): 1 is there twice, also as prefix 1 (1)",
+			"prefix 2 (1): duplicate prefix 1, first defined by prefix 1 (1)",
 		},
 		"unknown route": {
 			oneRoute + "[[prefix]]\nprefix = \"1\"\nroute = \"x\"\n",
@@ -24,7 +24,7 @@
 		},
 		"barred prefix": {
 			oneRoute + "[[prefix]]\nprefix = \"12\"\nroute = \"r\"\n[[barred]]\nprefix = \"1\"\n",
-			"prefix 1 (12): unreachable: barred 1 bars it",
+			"prefix 1 (12): unreachable: barred 1 rejects its numbers",
 		},
 		"overlapping ranges": {
 			oneRoute + "[[range]]\nfirst = \"10\"\nlast = \"30\"\nroute = \"r\"\n" +
@@ -34,28 +34,28 @@
 		"prefix across the end of a range": {
 			oneRoute + "[[prefix]]\nprefix = \"12\"\nroute = \"r\"\n" +
 				"[[range]]\nfirst = \"1000\"\nlast = \"1499\"\nroute = \"r\"\n",
-			"prefix 1 (12): it lies within range 1 (1000 to 1499)",
+			"prefix 1 (12): overlaps range 1 (1000 to 1499)",
 		},
 		"range of two lengths": {
 			oneRoute + "[[range]]\nfirst = \"10\"\nlast = \"300\"\nroute = \"r\"\n",
-			"range 1 (10 to 300): first and last are digits",
+			"range 1 (10 to 300): first and last must be digits of equal length",
 		},
 		"translation loop": {
 			defaultRoute + "[[translate]]\nmatch = \"1\"\nstrip = 1\nadd = \"2\"\n" +
 				"[[translate]]\nmatch = \"2\"\nstrip = 1\nadd = \"1\"\n",
-			"translate 1 (1): a loop, by way of entries [1 2 1]",
+			"translate 1 (1): translation loop through entries [1 2 1]",
 		},
 		"duplicate translation": {
 			defaultRoute + "[[translate]]\nmatch = \"1\"\n[[translate]]\nmatch = \"1\"\n",
-			"translate 2 (1): unreachable: translate 1 matches the same",
+			"translate 2 (1): unreachable: translate 1 matches the same numbers",
 		},
 		"negative strip": {
 			defaultRoute + "[[translate]]\nmatch = \"1\"\nstrip = -1\n",
-			"translate 1 (1): match and add are digits, and strip no more than match has",
+			"translate 1 (1): match and add must be digits, and strip at most the length of match",
 		},
 		"time without a target": {
 			defaultRoute + "when = \"w\"\n[[when]]\nname = \"w\"\nhours = [\"08:00-18:00\"]\n",
-			"route 1 (r): it has no target at some times",
+			"route 1 (r): no target is open at some times",
 		},
 		"unknown zone": {
 			defaultRoute + "[[when]]\nname = \"w\"\nzone = \"Mars/Olympus\"\n",
@@ -73,7 +73,7 @@
 		"too many digits": {"max_digits = 99", "max_digits: 99 is not between"},
 		"emergency number with a letter": {
 			"[[emergency]]\nnumber = \"1x\"\nroute = \"r\"\n" + oneRoute,
-			"emergency 1 (1x): the number is not digits",
+			"emergency 1 (1x): the number must consist of digits",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 func TestCompileChecksPoolsOfClasses(t *testing.T) {
 	narrow := Deployment{Classes: []Class{{Name: "voice", Pools: []int{2}}}, Now: now}
 	r := parseRules(t, defaultRoute)
-	if _, err := Compile(r, narrow); err == nil || !strings.Contains(err.Error(), "pool 1: no class may use it") {
+	if _, err := Compile(r, narrow); err == nil || !strings.Contains(err.Error(), "pool 1: no class can use it") {
 		t.Error(err)
 	}
 }
--- a/internal/numbering/compilecondition.go
+++ b/internal/numbering/compilecondition.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// weekdayNames are the names of the days in rules, in the order in which they are printed.
+// weekdayNames are the names of weekdays in rules, in the order in which they are printed.
 var weekdayNames = [...]struct {
 	name string
 	day  time.Weekday
@@ -48,7 +48,7 @@
 	return c, nil
 }
 
-// parseZone returns the zone of an IANA name, UTC for "". "Local" is an error: it is another zone on each machine.
+// parseZone returns the zone with an IANA name, UTC for "". "Local" is an error, since it depends on the machine.
 func parseZone(name string) (*time.Location, error) {
 	zone, err := time.LoadLocation(name)
 	if err != nil || name == "Local" {
@@ -57,7 +57,7 @@
 	return zone, nil
 }
 
-// parseWeekdays returns the set of the named days, all days for none.
+// parseWeekdays returns the set of the named days, or all days if there are no names.
 func parseWeekdays(names []string) (days [7]bool, err error) {
 	for i := range days {
 		days[i] = len(names) == 0
@@ -65,7 +65,7 @@
 	for _, name := range names {
 		day, ok := parseWeekday(name)
 		if !ok {
-			return days, fmt.Errorf("weekday %q is none of mon to sun", name)
+			return days, fmt.Errorf("weekday %q is not one of mon to sun", name)
 		}
 		days[day] = true
 	}
@@ -81,7 +81,7 @@
 	return 0, false
 }
 
-// parseHours reads hours such as "08:00-18:30". Hours over midnight are two ranges.
+// parseHours parses hours such as "08:00-18:30". Hours that span midnight are split into two ranges.
 func parseHours(text string) ([]hourRange, error) {
 	fromText, toText, isRange := strings.Cut(text, "-")
 	from, fromErr := parseMinute(fromText)
@@ -95,7 +95,7 @@
 	return []hourRange{{0, to}, {from, minutesPerDay}}, nil
 }
 
-// parseMinute reads a time of day, 00:00 to 24:00, as minutes since midnight.
+// parseMinute parses a time of day, 00:00 to 24:00, and returns it in minutes since midnight.
 func parseMinute(text string) (int, error) {
 	hourText, minuteText, isTime := strings.Cut(strings.TrimSpace(text), ":")
 	hour, hourErr := strconv.Atoi(hourText)
@@ -103,12 +103,12 @@
 	isTime = isTime && hourErr == nil && minuteErr == nil && len(minuteText) == 2
 	isInRange := hour >= 0 && minute >= 0 && minute < minutesPerHour && hour*minutesPerHour+minute <= minutesPerDay
 	if !isTime || !isInRange {
-		return 0, fmt.Errorf("%q is no time of day", text)
+		return 0, fmt.Errorf("%q is not a time of day", text)
 	}
 	return hour*minutesPerHour + minute, nil
 }
 
-// parseDates reads a day or a range of days such as "2026-12-24/2026-12-31".
+// parseDates parses a day or a range of days such as "2026-12-24/2026-12-31".
 func parseDates(text string) (dateRange, error) {
 	fromText, toText, isRange := strings.Cut(text, "/")
 	if !isRange {
--- a/internal/numbering/compilenumbers.go
+++ b/internal/numbering/compilenumbers.go
@@ -13,10 +13,10 @@
 	for i, x := range c.rules.Emergency {
 		name := entryName("emergency", i, x.Number)
 		if !isDigits(x.Number) {
-			c.addError(name, "the number is not digits alone")
+			c.addError(name, "the number must consist of digits only")
 		}
 		if _, exists := c.table.emergencies[x.Number]; exists {
-			c.addError(name, "the number is there twice")
+			c.addError(name, "duplicate emergency number")
 		}
 		c.table.emergencies[x.Number] = c.routeIndex(name, x.Route)
 	}
@@ -28,7 +28,7 @@
 	for i, x := range c.rules.Barred {
 		name := entryName("barred", i, x.Prefix)
 		if x.Cause < 0 || x.Cause > maxCause {
-			c.addError(name, "cause %d is not of Q.850 (1 to %d)", x.Cause, maxCause)
+			c.addError(name, "cause %d is not a Q.850 cause (1 to %d)", x.Cause, maxCause)
 		}
 		if !c.isPrefixValid(x.Prefix) {
 			c.addPrefixError(name)
@@ -38,20 +38,20 @@
 			route:     -1,
 			cause:     int16(x.causeOrDefault()),
 			classList: c.addClassList(name, x.Classes),
-			line:      int32(i + 1),
+			ordinal:   int32(i + 1),
 		})
 		b.add(x.Prefix, int32(len(entries)-1))
 	}
 	bars, err := b.build(entries)
 	var duplicate *duplicatePrefixError
 	if errors.As(err, &duplicate) {
-		first, second := entries[duplicate.first].line, entries[duplicate.second].line
-		c.addError(fmt.Sprintf("barred %d", second), "%v, also as barred %d", duplicate, first)
+		first, second := entries[duplicate.first].ordinal, entries[duplicate.second].ordinal
+		c.addError(fmt.Sprintf("barred %d", second), "%v, first defined by barred %d", duplicate, first)
 	}
 	c.table.bars = bars
 }
 
-// causeOrDefault returns the cause with which the number is rejected.
+// causeOrDefault returns the cause of rejections, by default CauseRejected.
 func (b *Barred) causeOrDefault() int {
 	if b.Cause == 0 {
 		return CauseRejected
@@ -59,23 +59,23 @@
 	return b.Cause
 }
 
-// isPrefixValid reports whether a prefix consists of digits, and not too many.
+// isPrefixValid reports whether a prefix consists of digits and is not longer than a number may be.
 func (c *compiler) isPrefixValid(prefix string) bool {
 	return isDigits(prefix) && len(prefix) <= c.table.maxDigits
 }
 
 func (c *compiler) addPrefixError(name string) {
-	c.addError(name, "the prefix is not digits alone, at most %d", c.table.maxDigits)
+	c.addError(name, "the prefix must consist of digits only, at most %d", c.table.maxDigits)
 }
 
-// addClassList stores the classes that a bar is for and returns their index; -1: all classes.
+// addClassList stores the classes that a bar is limited to and returns the index of the list; -1: all classes.
 func (c *compiler) addClassList(name string, classes []string) int32 {
 	if len(classes) == 0 {
 		return -1
 	}
 	for _, class := range classes {
 		isKnown := func(known Class) bool { return known.Name == class }
-		if len(c.env.Classes) > 0 && !slices.ContainsFunc(c.env.Classes, isKnown) {
+		if len(c.deployment.Classes) > 0 && !slices.ContainsFunc(c.deployment.Classes, isKnown) {
 			c.addError(name, "there is no class %q", class)
 		}
 	}
@@ -83,33 +83,33 @@
 	return int32(len(c.table.barredClasses) - 1)
 }
 
-// numberCompiler collects the prefixes that lead to a route.
+// numberCompiler collects the prefixes that are assigned to routes, including those that ranges are split into.
 type numberCompiler struct {
 	*compiler
 	builder trieBuilder
 	entries []entry
-	indexes map[string]int32 // routes that have been looked up
+	indexes map[string]int32 // route indexes by name, of the routes that have been looked up
 }
 
 func (c *compiler) compileNumbers() {
 	n := &numberCompiler{compiler: c, indexes: make(map[string]int32)}
 	n.entries = make([]entry, 0, len(c.rules.Prefix)+len(c.rules.Range))
 	for i, x := range c.rules.Prefix {
-		line := int32(i + 1)
+		ordinal := int32(i + 1)
 		if !c.isPrefixValid(x.Prefix) {
-			c.addPrefixError(c.numberName(line))
+			c.addPrefixError(c.numberName(ordinal))
 			continue
 		}
-		n.add(line, x.Prefix, x.Route, x.Ported)
+		n.add(ordinal, x.Prefix, x.Route, x.Ported)
 	}
 	for i, x := range c.rules.Range {
-		line := c.rangeLine(i)
+		ordinal := c.rangeOrdinal(i)
 		if !c.isRangeValid(&x) {
-			c.addError(c.numberName(line), "first and last are digits, as many of each, in their order")
+			c.addError(c.numberName(ordinal), "first and last must be digits of equal length, in ascending order")
 			continue
 		}
 		for _, prefix := range rangePrefixes(x.First, x.Last) {
-			n.add(line, prefix, x.Route, x.Ported)
+			n.add(ordinal, prefix, x.Route, x.Ported)
 		}
 	}
 	ranges := c.sortedRanges()
@@ -118,44 +118,44 @@
 	n.build()
 }
 
-// add adds a prefix of the entry with a line number.
-func (n *numberCompiler) add(line int32, prefix, routeName string, ported bool) {
+// add adds a prefix that belongs to the entry with an ordinal.
+func (n *numberCompiler) add(ordinal int32, prefix, routeName string, ported bool) {
 	if index, length := n.table.bars.find([]byte(prefix)); index >= 0 && length > 0 {
 		bar := &n.table.bars.entries[index]
 		if bar.classList < 0 {
-			n.addError(n.numberName(line), "unreachable: barred %d bars it", bar.line)
+			n.addError(n.numberName(ordinal), "unreachable: barred %d rejects its numbers", bar.ordinal)
 		}
 	}
 	routeIndex, known := n.indexes[routeName]
 	if !known {
-		routeIndex = n.routeIndex(n.numberName(line), routeName)
+		routeIndex = n.routeIndex(n.numberName(ordinal), routeName)
 		n.indexes[routeName] = routeIndex
 	}
-	n.entries = append(n.entries, entry{route: routeIndex, ported: ported, classList: -1, line: line})
+	n.entries = append(n.entries, entry{route: routeIndex, ported: ported, classList: -1, ordinal: ordinal})
 	n.builder.add(prefix, int32(len(n.entries)-1))
 }
 
 func (n *numberCompiler) build() {
 	if len(n.entries) > maxPrefixes {
-		n.addError("range", "ranges take %d prefixes, more than %d", len(n.entries), maxPrefixes)
+		n.addError("range", "prefixes and ranges expand to %d prefixes; the limit is %d", len(n.entries), maxPrefixes)
 		return
 	}
 	numbers, err := n.builder.build(n.entries)
 	var duplicate *duplicatePrefixError
 	if errors.As(err, &duplicate) && len(n.errs) < maxRuleErrors {
-		first := n.numberName(n.entries[duplicate.first].line)
-		second := n.numberName(n.entries[duplicate.second].line)
-		n.addError(second, "%v, also as %s", duplicate, first)
+		first := n.numberName(n.entries[duplicate.first].ordinal)
+		second := n.numberName(n.entries[duplicate.second].ordinal)
+		n.addError(second, "%v, first defined by %s", duplicate, first)
 	}
 	n.table.numbers = numbers
 }
 
-// rangeLine returns the line number of a range: ranges are counted on after the prefixes.
-func (c *compiler) rangeLine(index int) int32 { return int32(len(c.rules.Prefix) + index + 1) }
+// rangeOrdinal returns the ordinal of a range. Prefixes and ranges have a common sequence, in which ranges follow.
+func (c *compiler) rangeOrdinal(index int) int32 { return int32(len(c.rules.Prefix) + index + 1) }
 
-// numberName names a prefix or range by its line number.
-func (c *compiler) numberName(line int32) string {
-	index := int(line) - 1
+// numberName returns the name of a prefix or range, given by its ordinal, in error messages.
+func (c *compiler) numberName(ordinal int32) string {
+	index := int(ordinal) - 1
 	if index < len(c.rules.Prefix) {
 		return entryName("prefix", index, c.rules.Prefix[index].Prefix)
 	}
--- a/internal/numbering/condition.go
+++ b/internal/numbering/condition.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 	"time"
-	_ "time/tzdata" // the zones of the machine may be missing or differ between machines
+	_ "time/tzdata" // the zone data of the machine may be missing or differ between machines
 )
 
 // condition is a compiled Condition.
@@ -17,13 +17,13 @@
 	isNegated bool
 }
 
-// hourRange is a part of a day in minutes since midnight; to is excluded and at most minutesPerDay.
+// hourRange is a part of a day, in minutes since midnight; to is exclusive and at most minutesPerDay.
 type hourRange struct{ from, to int }
 
-// dateRange is a range of days; to is included.
+// dateRange is a range of days; to is inclusive.
 type dateRange struct{ from, to date }
 
-// date is a day as the number yyyymmdd.
+// date is a day, encoded as the number yyyymmdd.
 type date int32
 
 func dateOf(t time.Time) date {
@@ -37,14 +37,15 @@
 	minutesPerDay  = hoursPerDay * minutesPerHour
 )
 
-// holds reports whether the condition holds at a time. It depends on what clocks show in the zone: an hour that occurs
-// twice when the clock is set back is in the condition both times; an hour that is left out is never in it, and hours
-// that begin within it begin at its end.
+// holds reports whether the condition holds at a time. Hours are compared with local time in the zone: an hour that
+// occurs twice when the clock is set back matches both times; an hour that is skipped when the clock is set forward
+// never matches, and a range that begins within it takes effect at its end.
 func (c *condition) holds(at Time) bool {
 	t := time.Unix(0, int64(at)).In(c.zone)
 	return c.allows(t) != c.isNegated
 }
 
+// allows reports whether the condition holds at a time, before the inversion by Not.
 func (c *condition) allows(t time.Time) bool {
 	today := dateOf(t)
 	if !c.weekdays[t.Weekday()] || c.holidays[today] {
@@ -77,19 +78,19 @@
 	return false
 }
 
-// minutesToCheck returns the minutes of a day at which the condition may change, and the minutes before.
+// minutesToCheck returns the minutes of a day at which the condition may change, and the minutes before these.
 func (c *condition) minutesToCheck() []int {
 	minutes := []int{0, minutesPerDay - 1}
 	for _, h := range c.hours {
 		minutes = append(minutes, h.from, h.from-1, h.to, h.to-1)
 	}
-	for hour := range hoursPerDay { // the clock of the zone may be changed
+	for hour := range hoursPerDay { // the zone may change its clock at any full hour
 		minutes = append(minutes, hour*minutesPerHour)
 	}
 	return minutes
 }
 
-// anyHolds reports whether one of the conditions holds at a time.
+// anyHolds reports whether at least one condition holds at a time.
 func anyHolds(conditions []*condition, at Time) bool {
 	return slices.ContainsFunc(conditions, func(c *condition) bool { return c.holds(at) })
 }
--- a/internal/numbering/digest.go
+++ b/internal/numbering/digest.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// ruleLines collects one line for each entry of the rules. The lines are what the digest is made of, so their format
+// ruleLines holds one line of text for each entry of the rules. The digest is computed from the lines, so their format
 // must not change: stored versions are found by their digests.
 type ruleLines []string
 
 func (l *ruleLines) add(format string, args ...any) { *l = append(*l, fmt.Sprintf(format, args...)) }
 
-// digestRules returns the digest of rules, whatever the order of their entries. maxLength is the greatest number of
-// digits.
+// digestRules returns the digest of rules, which does not depend on the order of their entries. maxLength is the
+// greatest number of digits of a number.
 func digestRules(r *Rules, maxLength int) [sha256.Size]byte {
 	lines := make(ruleLines, 0, len(r.Prefix)+len(r.Range)+len(r.Barred)+16)
 	lines.add("max %d default %q", maxLength, r.Default)
@@ -55,8 +55,8 @@
 
 func (l *ruleLines) addRoutes(r *Rules) {
 	for _, x := range r.Route {
-		for _, g := range x.Target {
-			l.add("route %q %d %d %d %q", x.Name, g.Step, g.Pool, max(g.Weight, defaultWeight), g.When)
+		for _, tgt := range x.Target {
+			l.add("route %q %d %d %d %q", x.Name, tgt.Step, tgt.Pool, max(tgt.Weight, defaultWeight), tgt.When)
 		}
 	}
 	for _, x := range r.When {
--- a/internal/numbering/digits.go
+++ b/internal/numbering/digits.go
@@ -1,12 +1,12 @@
 package numbering
 
-// Digits is a number without the plus sign. The zero value has no digits.
+// Digits is a telephone number without the plus sign. The zero value has no digits.
 type Digits struct {
-	b [maxDigits]byte // zero behind the first n
+	b [maxDigits]byte // zero after the first n
 	n uint8
 }
 
-// ParseDigits returns the digits of s; ok is false if s is empty, too long or has other characters.
+// ParseDigits converts s; ok is false if s is empty, longer than maxDigits or contains anything but digits.
 func ParseDigits(s string) (d Digits, ok bool) {
 	if !isDigits(s) {
 		return d, false
@@ -15,10 +15,10 @@
 	return d, true
 }
 
-// String returns the digits.
+// String returns the digits as text.
 func (d Digits) String() string { return string(d.b[:d.n]) }
 
-// bytes returns the digits as a slice of d.
+// bytes returns a slice of the digits that shares the memory of d.
 func (d *Digits) bytes() []byte { return d.b[:d.n] }
 
 // hasPrefix reports whether the number begins with prefix.
@@ -26,7 +26,7 @@
 	return len(prefix) <= int(d.n) && string(d.b[:len(prefix)]) == prefix
 }
 
-// replacePrefix removes the first digits and puts prefix before the rest. Digits that do not fit are cut off.
+// replacePrefix replaces the first removed digits by prefix. Digits beyond maxDigits are dropped.
 func (d *Digits) replacePrefix(removed int, prefix string) {
 	rest := d.b[removed:d.n]
 	var replaced Digits
@@ -36,12 +36,12 @@
 	*d = replaced
 }
 
-// isDigits reports whether s has 1 to maxDigits digits and nothing else.
+// isDigits reports whether s consists of 1 to maxDigits digits.
 func isDigits(s string) bool {
 	return s != "" && len(s) <= maxDigits && allBetween(s, '0', '9')
 }
 
-// allBetween reports whether each byte of s is between low and high.
+// allBetween reports whether each byte of s is in the range from low to high.
 func allBetween(s string, low, high byte) bool {
 	for i := range len(s) {
 		if s[i] < low || s[i] > high {
@@ -51,8 +51,9 @@
 	return true
 }
 
-// parseDialled removes the separators that people write between digits. ok is false if number has other characters,
-// no digits, or more than maxDigits.
+// parseDialled returns the digits of a number as dialled, without the separators that people write between them.
+// isInternational is set if the number begins with a plus sign. ok is false if number contains other characters, no
+// digits, or more than maxDigits.
 func parseDialled(number string) (digits Digits, isInternational, ok bool) {
 	for i := range len(number) {
 		switch c := number[i]; c {
--- a/internal/numbering/doc.go
+++ b/internal/numbering/doc.go
@@ -1,11 +1,12 @@
-// Package numbering decides by the called number which pools a call may go to, and in which order of preference: by
+// Package numbering selects the pools that may take a call, in order of preference, from the called number. It applies
 // dialling plans and translations, barred and emergency numbers, prefixes and ranges, number portability, and routes
-// by time of day. The admission module chooses the server.
+// that depend on the time of day. The admission module chooses the server within a pool.
 //
-// Rules as an operator writes them are compiled into a Table, which never changes and may be read by any goroutine.
-// Errors in rules are found by Compile and never in service. A Registry keeps the versions of a table, and a Desk
-// carries out the operator's orders on them: load, activate, roll back, cancel.
+// The rules that an operator writes are compiled into a Table, which is immutable and may be read by any goroutine.
+// Compile reports all errors in the rules, so none is left to be found while calls are routed. A Registry keeps the
+// versions of the table, and a VersionManager executes the operator's commands on them: load, activate, roll back,
+// cancel.
 //
-// The package opens no sockets, starts no goroutines, writes no files and reads no clock but the Time passed in; Read
-// is the only function that reads a file.
+// The package opens no sockets, starts no goroutines and writes no files. It takes the time from its callers and reads
+// no clock. CompileFile is the only function that reads a file.
 package numbering
--- a/internal/numbering/e164.go
+++ b/internal/numbering/e164.go
@@ -1,7 +1,7 @@
 package numbering
 
-// translate applies translations until none matches. Rules with a translation loop do not compile; the bound on the
-// number of translations ends the loops that Compile does not find.
+// translate applies translations until none matches. Compile rejects the translation loops that it finds; the limit on
+// the number of steps ends any others.
 func (t *Table) translate(number *Digits, e *explanation) {
 	for range len(t.translations) + 1 {
 		translation := t.matchTranslation(number)
@@ -17,7 +17,7 @@
 	}
 }
 
-// matchTranslation returns the first translation that matches a number, nil if there is none.
+// matchTranslation returns the first translation that matches a number, or nil.
 func (t *Table) matchTranslation(number *Digits) *Translation {
 	for i := range t.translations {
 		translation := &t.translations[i]
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// normalise changes a number as dialled to E.164 form by the dialling plan.
+// normalise converts a number as dialled to E.164 form according to the dialling plan.
 func (t *Table) normalise(number *Digits, e *explanation) {
 	if len(t.plans) == 0 {
 		return
@@ -56,8 +56,8 @@
 	formInternational
 )
 
-// classify returns the form in which a number was dialled. If one of the prefixes of the plan begins with the other
-// (0 and 00), the longer one counts.
+// classify returns the form in which a number was dialled. If both prefixes of the plan match, because one begins with
+// the other (0 and 00), the longer one decides.
 func (p *Plan) classify(number *Digits) dialledForm {
 	isInternational := isDialPrefix(p.International, number)
 	hasNationalPrefix := isDialPrefix(p.National, number)
@@ -76,7 +76,7 @@
 	return formNational
 }
 
-// isDialPrefix reports whether a number begins with a dialling prefix and goes on behind it.
+// isDialPrefix reports whether a number begins with a dialling prefix and has further digits.
 func isDialPrefix(prefix string, number *Digits) bool {
 	return prefix != "" && int(number.n) > len(prefix) && number.hasPrefix(prefix)
 }
--- a/internal/numbering/explain.go
+++ b/internal/numbering/explain.go
@@ -69,15 +69,15 @@
 	switch {
 	case e == nil:
 	case isBarred:
-		e.add("barred %d bars %s: cause %d", bar.line, string(prefix), bar.cause)
+		e.add("barred %d bars %s: cause %d", bar.ordinal, string(prefix), bar.cause)
 	default:
-		e.add("barred %d bars %s, not for class %q", bar.line, string(prefix), class)
+		e.add("barred %d bars %s, not for class %q", bar.ordinal, string(prefix), class)
 	}
 }
 
 func (e *explanation) longestMatch(match *entry, prefix []byte) {
 	if e != nil {
-		e.add("the longest match is %s (entry %d)", string(prefix), match.line)
+		e.add("the longest match is %s (entry %d)", string(prefix), match.ordinal)
 	}
 }
 
@@ -109,7 +109,7 @@
 
 func (e *explanation) movedTo(routing []byte, match *entry, prefix []byte) {
 	if e != nil {
-		e.add("it has moved to %s; the longest match is %s (entry %d)", string(routing), string(prefix), match.line)
+		e.add("it has moved to %s; the longest match is %s (entry %d)", string(routing), string(prefix), match.ordinal)
 	}
 }
 
--- a/internal/numbering/pools.go
+++ b/internal/numbering/pools.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed returns the seed of the weighted choice of pools for the call with an id.
+// Seed returns the seed for the weighted choice of pools from the ID of a call.
 func Seed(call string) uint64 { return xxhash.Sum64String(call) }
 
-// choosePools lists the open pools of a route, step by step, and rejects the call if there is none.
+// choosePools adds the open pools of a route to d, step by step. If there is none, it rejects the call.
 func (t *Table) choosePools(d *Decision, index int32, q *Query, e *explanation) {
 	r := &t.routes[index]
 	d.Route = r.name
@@ -24,17 +24,17 @@
 	e.pools(d)
 }
 
-// addStep adds the open pools of a step of a route: first one that is drawn by weight, then the others in their order.
+// addStep adds the open pools of one step of a route to d: first one that is drawn by weight, then the others in order.
 func (t *Table) addStep(d *Decision, r *route, step int, q *Query, e *explanation) {
 	var targets [maxTargets]*target
 	count := 0
 	for i := range r.steps[step] {
-		g := &r.steps[step][i]
-		if g.condition >= 0 && !t.conditions[g.condition].holds(q.At) {
-			e.targetClosed(r.name, g.pool, t.conditions[g.condition].name)
+		tgt := &r.steps[step][i]
+		if tgt.condition >= 0 && !t.conditions[tgt.condition].holds(q.At) {
+			e.targetClosed(r.name, tgt.pool, t.conditions[tgt.condition].name)
 			continue
 		}
-		targets[count] = g
+		targets[count] = tgt
 		count++
 	}
 	if count == 0 {
@@ -43,26 +43,26 @@
 	open := targets[:count]
 	first := chooseByWeight(open, draw(q.Seed, r.seed, step))
 	d.addPool(open[first].pool)
-	for i, g := range open {
+	for i, tgt := range open {
 		if i != first {
-			d.addPool(g.pool)
+			d.addPool(tgt.pool)
 		}
 	}
 	e.poolDrawn(r.name, step, open[first].pool, count)
 }
 
-// chooseByWeight returns the index of the target on which a random number falls.
+// chooseByWeight returns the index of the target that a random number selects in proportion to the weights.
 func chooseByWeight(targets []*target, random uint64) int {
 	total := 0
-	for _, g := range targets {
-		total += g.weight
+	for _, tgt := range targets {
+		total += tgt.weight
 	}
 	if total <= 0 {
 		return 0
 	}
 	remaining := int(random % uint64(total))
-	for i, g := range targets {
-		remaining -= g.weight
+	for i, tgt := range targets {
+		remaining -= tgt.weight
 		if remaining < 0 {
 			return i
 		}
@@ -70,7 +70,7 @@
 	return len(targets) - 1
 }
 
-// draw returns the pseudo-random number of a call for one step of a route.
+// draw returns a pseudo-random number for a call and a step of a route. Equal arguments give equal results.
 func draw(callSeed, routeSeed uint64, step int) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], callSeed)
--- a/internal/numbering/ranges.go
+++ b/internal/numbering/ranges.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// name names a range in errors.
+// name returns the key of a range in error messages.
 func (r *Range) name() string { return fmt.Sprintf("%s to %s", r.First, r.Last) }
 
-// isRangeValid reports whether the ends of a range are digits, of equal length and in order.
+// isRangeValid reports whether the ends of a range are digits of equal length, in ascending order and not too long.
 func (c *compiler) isRangeValid(r *Range) bool {
 	if !isDigits(r.First) || !isDigits(r.Last) {
 		return false
@@ -32,19 +32,19 @@
 	return indexes
 }
 
-// checkOverlaps reports ranges that have numbers in common. sorted is the result of sortedRanges.
+// checkOverlaps reports ranges that overlap. sorted is the result of sortedRanges.
 func (c *compiler) checkOverlaps(sorted []int) {
 	for i := 1; i < len(sorted); i++ {
 		previous, current := c.rules.Range[sorted[i-1]], c.rules.Range[sorted[i]]
 		if len(previous.First) == len(current.First) && current.First <= previous.Last {
-			c.addError(c.numberName(c.rangeLine(sorted[i])), "overlaps range %d", sorted[i-1]+1)
+			c.addError(c.numberName(c.rangeOrdinal(sorted[i])), "overlaps range %d", sorted[i-1]+1)
 		}
 	}
 }
 
-// checkPrefixesInRanges reports prefixes that lie within a range, or across its end, and are no longer than its
-// numbers. Which of the two is the longer match would depend on the prefixes that the range is split into: in the
-// middle of the range the prefix would win, at its ends the range. sorted is the result of sortedRanges.
+// checkPrefixesInRanges reports prefixes that lie within a range, or across its end, and are not longer than its
+// numbers. Which of the two is the longer match would depend on the prefixes that the range is split into: the prefix
+// in the middle of the range, the range at its ends. sorted is the result of sortedRanges.
 func (c *compiler) checkPrefixesInRanges(sorted []int) {
 	rangesByLength := make(map[int][]int)
 	for _, i := range sorted {
@@ -62,8 +62,9 @@
 	}
 }
 
-// checkPrefixInRanges checks one prefix against the ranges of numbers of one length. These do not overlap, so only the
-// first and the last that the prefix meets can reach beyond it.
+// checkPrefixInRanges checks one prefix against the ranges with numbers of one length. A range whose numbers all begin
+// with the prefix is permitted. Since the ranges do not overlap, only the first and the last that have numbers in
+// common with the prefix can extend beyond it.
 func (c *compiler) checkPrefixInRanges(index int, ranges []int, length int) {
 	prefix := c.rules.Prefix[index].Prefix
 	padding := length - len(prefix)
@@ -78,12 +79,13 @@
 		}
 		if x.First < low || x.Last > high {
 			c.addError(entryName("prefix", index, prefix),
-				"it lies within range %d (%s), or across its end; split the range there", i+1, x.name())
+				"overlaps range %d (%s); split the range at the prefix", i+1, x.name())
 		}
 	}
 }
 
-// rangePrefixes returns the fewest prefixes that cover the numbers from first to last, which have equal length.
+// rangePrefixes returns the smallest set of prefixes that covers the numbers from first to last, which have equal
+// length.
 func rangePrefixes(first, last string) []string {
 	common := 0
 	for common < len(first) && first[common] == last[common] {
@@ -96,7 +98,7 @@
 	head := first[:common]
 	firstRest, lastRest := first[common+1:], last[common+1:]
 	var prefixes []string
-	firstDigit, lastDigit := first[common], last[common] // of the blocks that the range covers in full
+	firstDigit, lastDigit := first[common], last[common] // of the blocks that the range covers completely
 	if !allBetween(firstRest, '0', '0') {
 		end := head + string(firstDigit) + strings.Repeat("9", len(firstRest))
 		prefixes = append(prefixes, rangePrefixes(first, end)...)
--- a/internal/numbering/rules.go
+++ b/internal/numbering/rules.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Rules are the contents of a TOML file that an operator writes.
+// Rules is the content of a numbering rules file, which an operator writes in TOML.
 type Rules struct {
 	Plan      []Plan        `toml:"plan"`
 	Translate []Translation `toml:"translate"`
@@ -18,13 +18,13 @@
 	Range     []Range       `toml:"range"`
 	Route     []Route       `toml:"route"`
 	When      []Condition   `toml:"when"`
-	Default   string        `toml:"default"`    // route of numbers without a match; "": they are unallocated
-	Version   string        `toml:"version"`    // a name for people
+	Default   string        `toml:"default"`    // route of numbers that no prefix matches; "": unallocated
+	Version   string        `toml:"version"`    // for display only
 	MaxDigits int           `toml:"max_digits"` // of a number in E.164 form, without the plus; default 15
 }
 
 // Plan is a dialling plan: the country code, and the prefixes that callers dial before national and international
-// numbers. It brings numbers as dialled into E.164 form.
+// numbers. Numbers as dialled are converted to E.164 form with it.
 type Plan struct {
 	Name          string `toml:"name"`
 	Country       string `toml:"country"`       // "56"
@@ -34,36 +34,36 @@
 	MaxDigits     int    `toml:"max_digits"`
 }
 
-// Translation changes the digits of a number before analysis: a number that begins with Match loses Strip digits and
-// gets Add before the rest. Short numbers of an organisation are translations with Exact.
+// Translation changes the digits of a number before analysis: in a number that begins with Match, the first Strip
+// digits are replaced by Add. Short numbers of an organisation are translations with Exact.
 type Translation struct {
 	Match string `toml:"match"`
-	Exact bool   `toml:"exact"` // the number has no digits after Match
+	Exact bool   `toml:"exact"` // the whole number is Match
 	Strip int    `toml:"strip"`
 	Add   string `toml:"add"`
 }
 
-// Emergency is an emergency number. It is routed as dialled; bars, translations and look-ups do not apply.
+// Emergency is an emergency number. It is routed as dialled: bars, translations and portability look-ups do not apply.
 type Emergency struct {
 	Number string `toml:"number"` // as dialled
 	Route  string `toml:"route"`
 }
 
-// Barred is a prefix whose numbers are rejected with a Q.850 cause.
+// Barred is a prefix of numbers to which calls are rejected with a Q.850 cause.
 type Barred struct {
 	Prefix  string   `toml:"prefix"`
 	Cause   int      `toml:"cause"`   // default 21, call rejected
-	Classes []string `toml:"classes"` // classes of calls that are rejected; none: all
+	Classes []string `toml:"classes"` // classes of the calls that are rejected; empty: all
 }
 
-// Prefix is a prefix of numbers with their route.
+// Prefix assigns a route to the numbers with a prefix.
 type Prefix struct {
 	Prefix string `toml:"prefix"` // E.164 digits, without the plus
 	Route  string `toml:"route"`
-	Ported bool   `toml:"ported"` // numbers may have moved: they are looked up first
+	Ported bool   `toml:"ported"` // numbers may have been ported: a look-up is required
 }
 
-// Range is a block of numbers of one length, from First to Last, with their route.
+// Range assigns a route to a block of numbers of equal length, from First to Last.
 type Range struct {
 	First  string `toml:"first"`
 	Last   string `toml:"last"`
@@ -71,34 +71,34 @@
 	Ported bool   `toml:"ported"`
 }
 
-// Route is a list of targets, tried in the order of their steps. Of the targets of one step, a call tries one first
-// that is chosen by weight, and then the others.
+// Route is a list of targets, tried in the order of their steps. Within a step, the first target for a call is chosen
+// at random by weight; the others follow.
 type Route struct {
 	Name   string   `toml:"name"`
 	Target []Target `toml:"target"`
 }
 
-// Target is a pool that is used always, or while a condition holds.
+// Target is a pool that is open always, or only while a condition holds.
 type Target struct {
 	Pool   int    `toml:"pool"`
-	Step   int    `toml:"step"`   // the lowest first
+	Step   int    `toml:"step"`   // steps are tried in ascending order
 	Weight int    `toml:"weight"` // default 1
 	When   string `toml:"when"`   // name of a condition; "": always
 }
 
-// Condition is a set of times. It holds at a time if the weekday, the hours and the dates allow it and the day is no
-// holiday.
+// Condition is a set of times. It holds at a time if the weekday, the time of day and the date match and the day is not
+// a holiday.
 type Condition struct {
 	Name     string   `toml:"name"`
 	Zone     string   `toml:"zone"`     // IANA name; default UTC
-	Weekdays []string `toml:"weekdays"` // "mon" to "sun"; none: all
-	Hours    []string `toml:"hours"`    // "08:00-18:30" without its end, "22:00-06:00" over midnight; none: all
-	Dates    []string `toml:"dates"`    // "2026-12-24" or "2026-12-24/2026-12-31"; none: all
+	Weekdays []string `toml:"weekdays"` // "mon" to "sun"; empty: all
+	Hours    []string `toml:"hours"`    // "08:00-18:30", end excluded; "22:00-06:00" spans midnight; empty: all
+	Dates    []string `toml:"dates"`    // "2026-12-24" or "2026-12-24/2026-12-31"; empty: all
 	Holidays []string `toml:"holidays"` // days on which the condition does not hold
-	Not      bool     `toml:"not"`      // the condition holds at all other times instead
+	Not      bool     `toml:"not"`      // inverts the condition
 }
 
-// Bounds of rules, so that a file cannot fill the memory.
+// Limits on the size of rules, so that a file cannot exhaust the memory.
 const (
 	maxPrefixes   = 2_000_000
 	maxRoutes     = 4096
@@ -109,7 +109,7 @@
 	maxPool       = 1<<15 - 1
 )
 
-// Parse reads rules from TOML text. Unknown keys are errors.
+// Parse reads rules from TOML text. An unknown key is an error.
 func Parse(text []byte) (*Rules, error) {
 	var r Rules
 	meta, err := toml.Decode(string(text), &r)
--- a/internal/numbering/table.go
+++ b/internal/numbering/table.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Time is a reading of the Unix clock.
+// Time is the time since the Unix epoch.
 type Time = time.Duration
 
-// Table is a compiled set of rules. It never changes and may be read by any goroutine.
+// Table is a compiled set of rules. It is immutable and may be read by any goroutine.
 type Table struct {
-	Version string // a name for people; see Digest for the identity
+	Version string // for display; tables are identified by Digest
 
 	digest        [sha256.Size]byte
 	maxDigits     int
 	plans         []Plan
 	translations  []Translation    // in the order in which they are tried
-	emergencies   map[string]int32 // routes of emergency numbers as dialled
+	emergencies   map[string]int32 // route indexes by emergency number as dialled
 	bars          trie
-	barredClasses [][]string // lists of classes that bars apply to
+	barredClasses [][]string // lists of classes that bars are limited to
 	numbers       trie
 	routes        []route
 	conditions    []condition
-	defaultRoute  int32 // route of numbers without a match; -1: they are unallocated
+	defaultRoute  int32 // route of numbers that no prefix matches; -1: unallocated
 }
 
 // route is a compiled Route.
 type route struct {
 	name  string
-	seed  uint64     // of its weighted choices: from the name, so that equal rules give equal choices
+	seed  uint64     // for weighted choices; derived from the name, so that equal rules give equal choices
 	steps [][]target // in order of preference
 }
 
@@ -40,13 +40,13 @@
 	condition int32 // index into Table.conditions; -1: always open
 }
 
-// Digest returns the identity of a table: it is equal for rules that differ only in the order of their entries.
+// Digest identifies the table. Rules that differ only in the order of their entries have the same digest.
 func (t *Table) Digest() string { return hex.EncodeToString(t.digest[:8]) }
 
-// PrefixCount returns the number of prefixes, after ranges are split.
+// PrefixCount returns the number of prefixes, including those that ranges are split into.
 func (t *Table) PrefixCount() int { return len(t.numbers.entries) }
 
-// MemoryBytes returns about how many bytes of memory the prefixes take.
+// MemoryBytes returns the approximate number of bytes that the prefixes take.
 func (t *Table) MemoryBytes() int { return t.numbers.size() + t.bars.size() }
 
 // Q.850 causes of rejections.
--- a/internal/numbering/trie.go
+++ b/internal/numbering/trie.go
@@ -7,47 +7,49 @@
 	"strings"
 )
 
-// entry is the value of a prefix.
+// entry is the rule that applies to a prefix.
 type entry struct {
 	route     int32 // -1: none
 	cause     int16 // Q.850 cause of a bar; 0: not barred
-	ported    bool  // numbers may have moved: they have to be looked up
+	ported    bool  // numbers may have been ported: a look-up is required
 	classList int32 // index into Table.barredClasses; -1: all classes
-	line      int32 // number of the entry among its kind in the rules, from 1
+	ordinal   int32 // position of the entry in the rules, from 1; see numberName for ranges
 }
 
-// trie finds the longest prefix of a number. Its nodes are one slice, in which the children of a node are adjacent, so
-// that a million prefixes are two large blocks without pointers, which the garbage collector does not scan.
+// trie finds the longest prefix that matches a number. The nodes are stored in one slice in which the children of a
+// node are adjacent, so that a million prefixes take two large blocks without pointers, which the garbage collector
+// does not scan.
 type trie struct {
 	nodes   []node
 	entries []entry
 }
 
-// node is a prefix. The child of a digit is at firstChild plus the number of lower digits that have a child.
+// node is a prefix. The index of the child for a digit is firstChild plus the number of lower digits with a child.
 type node struct {
 	firstChild int32
-	entry      int32  // -1: no prefix ends here
-	children   uint16 // one bit a digit
+	entry      int32  // index into trie.entries; -1: no prefix ends here
+	children   uint16 // bit n is set if there is a child for digit n
 }
 
-// Sizes in bytes.
+// Sizes of a node and an entry, in bytes.
 const (
 	nodeSize  = 12
 	entrySize = 16
 )
 
-// size returns about how many bytes the trie takes.
+// size returns the approximate size of the trie in bytes.
 func (t *trie) size() int { return nodeSize*len(t.nodes) + entrySize*len(t.entries) }
 
-// hasChild reports whether a prefix goes on with a digit, 0 to 9.
+// hasChild reports whether the node has a child for a digit, 0 to 9.
 func (n *node) hasChild(digit byte) bool { return n.children&(1<<digit) != 0 }
 
-// child returns the index of the child of a digit, which must exist.
+// child returns the index of the child for a digit. The child must exist.
 func (n *node) child(digit byte) int32 {
 	return n.firstChild + int32(bits.OnesCount16(n.children&(1<<digit-1)))
 }
 
-// find returns the entry of the longest prefix of a number and the length of the prefix; -1 if there is none.
+// find returns the index of the entry of the longest prefix that matches a number, and the length of the prefix. The
+// index is -1 if no prefix matches.
 func (t *trie) find(digits []byte) (index int32, length int) {
 	if len(t.nodes) == 0 {
 		return -1, 0
@@ -67,13 +69,14 @@
 	return index, length
 }
 
-// walk calls visit with each prefix, in order.
+// walk calls visit with each prefix, in ascending order.
 func (t *trie) walk(visit func(prefix string)) {
 	if len(t.nodes) > 0 {
 		t.walkNode(0, make([]byte, 0, maxDigits), visit)
 	}
 }
 
+// walkNode visits the prefixes in the subtree of a node.
 func (t *trie) walkNode(index int32, prefix []byte, visit func(prefix string)) {
 	n := &t.nodes[index]
 	if n.entry >= 0 {
@@ -100,14 +103,14 @@
 	b.prefixes = append(b.prefixes, builderPrefix{digits, entry})
 }
 
-// duplicatePrefixError reports two entries for one prefix.
+// duplicatePrefixError is the error of two entries with the same prefix.
 type duplicatePrefixError struct {
 	digits        string
 	first, second int32 // indexes of the entries
 }
 
 // Error implements error.
-func (e *duplicatePrefixError) Error() string { return fmt.Sprintf("%s is there twice", e.digits) }
+func (e *duplicatePrefixError) Error() string { return fmt.Sprintf("duplicate prefix %s", e.digits) }
 
 // build returns the trie. The error is a *duplicatePrefixError if two prefixes are equal.
 func (b *trieBuilder) build(entries []entry) (trie, error) {
@@ -126,12 +129,14 @@
 	return trie{entries: entries, nodes: b.buildNodes()}, nil
 }
 
-// subtree is a node whose prefix has depth digits and begins the sorted prefixes from index from up to to.
+// subtree is a node whose children are still to be built. Its prefix has depth digits and is common to the sorted
+// prefixes with indexes from from, inclusive, to to, exclusive.
 type subtree struct {
 	node, from, to, depth int
 }
 
-// buildNodes lays out the nodes of the sorted prefixes breadth first, so that the children of a node are adjacent.
+// buildNodes creates the nodes of the sorted prefixes in breadth-first order, so that the children of a node are
+// adjacent.
 func (b *trieBuilder) buildNodes() []node {
 	nodes := []node{{entry: -1}}
 	queue := []subtree{{to: len(b.prefixes)}}
