--- a/internal/numbering/analyse.go
+++ b/internal/numbering/analyse.go
@@ -1,10 +1,10 @@
 package numbering
 
-// Analyse decides where a call goes. It allocates no memory and depends on nothing but the table and the query, so the
-// same query of the same table gives the same decision on every instance.
+// Analyse returns the routing decision for a call. It allocates no memory. The result depends only on the table and the
+// query, so all instances with the same table reach the same decision.
 func (t *Table) Analyse(q *Query) Decision { return t.analyse(q, nil) }
 
-// Explain is Analyse with a description of each step.
+// Explain is like Analyse and also returns a description of each step.
 func (t *Table) Explain(q *Query) (d Decision, steps []string) {
 	var e explanation
 	d = t.analyse(q, &e)
@@ -46,7 +46,8 @@
 	return d
 }
 
-// barredCause returns the cause with which the longest matching bar rejects calls of a class.
+// barredCause returns the cause with which the longest matching bar rejects calls of a class. Shorter bars do not apply
+// if the longest one is for other classes.
 func (t *Table) barredCause(number *Digits, class string, e *explanation) (cause int, isBarred bool) {
 	index, length := t.bars.find(number.bytes())
 	if index < 0 {
@@ -58,7 +59,7 @@
 	return int(bar.cause), isBarred
 }
 
-// appliesToClass reports whether a bar is for all classes or for the given one.
+// appliesToClass reports whether a bar rejects calls of a class.
 func (t *Table) appliesToClass(bar *entry, class string) bool {
 	if bar.classList < 0 {
 		return true
@@ -71,7 +72,7 @@
 	return false
 }
 
-// matchRoute returns the index of the route of d.Number. If there is none, it sets the verdict of d instead.
+// matchRoute returns the index of the route for d.Number. If there is none, it sets the verdict of d instead.
 func (t *Table) matchRoute(d *Decision, q *Query, e *explanation) (route int32, hasRoute bool) {
 	number := d.Number.bytes()
 	index, length := t.numbers.find(number)
@@ -89,18 +90,18 @@
 	}
 	switch q.Ported.State {
 	case NotLookedUp:
-		e.lookUpFirst()
+		e.lookUpRequired()
 		d.Verdict = LookUpRequired
 		return 0, false
 	case Moved:
 		return t.matchRoutingNumber(d, q.Ported.Routing, e)
 	default:
-		e.notMoved(q.Ported.State)
+		e.notPorted(q.Ported.State)
 		return match.route, true
 	}
 }
 
-// matchRoutingNumber is matchRoute for a number that has moved. A routing number is not looked up again.
+// matchRoutingNumber is matchRoute for a ported number, by its routing number, which is not looked up again.
 func (t *Table) matchRoutingNumber(d *Decision, routing Digits, e *explanation) (route int32, hasRoute bool) {
 	number := routing.bytes()
 	index, length := t.numbers.find(number)
@@ -110,6 +111,6 @@
 		return 0, false
 	}
 	match := &t.numbers.entries[index]
-	e.movedTo(number, match, number[:length])
+	e.portedTo(number, match, number[:length])
 	return match.route, true
 }
--- a/internal/numbering/describe.go
+++ b/internal/numbering/describe.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// describePrefix describes the destination of the numbers that begin with a prefix and that no longer prefix matches.
+// describePrefix describes the destination of the numbers for which a prefix is the longest match.
 func (t *Table) describePrefix(prefix string) string {
 	var parts []string
 	if index, _ := t.bars.find([]byte(prefix)); index >= 0 {
@@ -34,31 +34,31 @@
 	return strings.Join(parts, "; ")
 }
 
-// describeRoute describes the targets of a route, whatever its name.
+// describeRoute describes the targets of a route. The description does not contain the name of the route.
 func (t *Table) describeRoute(index int32) string {
 	var steps []string
 	for _, step := range t.routes[index].steps {
 		var targets []string
-		for _, g := range step {
-			targets = append(targets, t.describeTarget(g, len(step) > 1))
+		for _, tgt := range step {
+			targets = append(targets, t.describeTarget(tgt, len(step) > 1))
 		}
 		steps = append(steps, strings.Join(targets, " or "))
 	}
 	return strings.Join(steps, ", then ")
 }
 
-func (t *Table) describeTarget(g target, withWeight bool) string {
-	text := fmt.Sprintf("pool %d", g.pool)
+func (t *Table) describeTarget(tgt target, withWeight bool) string {
+	text := fmt.Sprintf("pool %d", tgt.pool)
 	if withWeight {
-		text += fmt.Sprintf(" weight %d", g.weight)
+		text += fmt.Sprintf(" weight %d", tgt.weight)
 	}
-	if g.condition >= 0 {
-		text += " when " + t.conditions[g.condition].String()
+	if tgt.condition >= 0 {
+		text += " when " + t.conditions[tgt.condition].String()
 	}
 	return text
 }
 
-// String describes the condition, whatever its name.
+// String describes the times of the condition. The description does not contain its name.
 func (c *condition) String() string {
 	var parts []string
 	if c.isNegated {
@@ -79,7 +79,7 @@
 	return strings.Join(append(parts, c.zone.String()), " ")
 }
 
-// weekdayList returns the names of the days on which the condition may hold, from Monday on.
+// weekdayList returns the names of the weekdays on which the condition may hold, in the order of weekdayNames.
 func (c *condition) weekdayList() []string {
 	var days []string
 	for _, w := range weekdayNames {
--- a/internal/numbering/diff.go
+++ b/internal/numbering/diff.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Change is a prefix whose numbers have another destination in a second table.
+// Change is a prefix whose destination differs between two tables.
 type Change struct {
 	Prefix string `json:"prefix"`
 	Old    string `json:"old"`
 	New    string `json:"new"`
 }
 
-// maxChanges bounds the result of Diff.
+// maxChanges limits the length of the list that Diff returns.
 const maxChanges = 100_000
 
-// Diff lists the prefixes whose destination differs between two tables. Destinations are compared as pools and times
-// and not as names: a route that is only renamed is no change. A change is listed at the shortest prefix that it
-// applies to, and at longer ones only where they differ from that. isTruncated is set if there are more changes than
-// the list holds.
+// Diff lists the prefixes whose destination differs between two tables. Destinations are compared by pools and times,
+// not by names: renaming a route is not a change. A change is listed for the shortest prefix that it applies to, and
+// for longer prefixes only if their destinations differ from that. isTruncated is set if there are more than maxChanges
+// changes.
 func Diff(before, after *Table) (changes []Change, isTruncated bool) {
-	var enclosing []Change // the prefixes that the current one begins with, the longest last
+	var enclosing []Change // changes at the prefixes of the current prefix, the longest last
 	for _, prefix := range allPrefixes(before, after) {
 		for len(enclosing) > 0 && !strings.HasPrefix(prefix, enclosing[len(enclosing)-1].Prefix) {
 			enclosing = enclosing[:len(enclosing)-1]
@@ -43,7 +43,7 @@
 	return c.Old == other.Old && c.New == other.New
 }
 
-// allPrefixes returns the prefixes that any of the tables has, and the empty prefix, in order.
+// allPrefixes returns the prefixes of all tables and the empty prefix, sorted and without duplicates.
 func allPrefixes(tables ...*Table) []string {
 	prefixes := []string{""}
 	collect := func(prefix string) { prefixes = append(prefixes, prefix) }
--- a/internal/numbering/explain.go
+++ b/internal/numbering/explain.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// explanation collects a description of each step of an analysis. The methods of a nil explanation do nothing and
-// allocate nothing: in service there is none. The texts are printed by olivectl numbers show.
+// explanation collects a description of each step of an analysis, which olivectl numbers show prints. The methods of a
+// nil explanation do nothing and allocate nothing; Analyse uses nil.
 type explanation struct{ steps []string }
 
 func (e *explanation) add(format string, args ...any) {
@@ -15,7 +15,7 @@
 
 func (e *explanation) notANumber(number string) {
 	if e != nil {
-		e.add("%q is no number of at most %d digits: cause %d", number, maxDigits, CauseUnallocated)
+		e.add("%q is not a number of 1 to %d digits: cause %d", number, maxDigits, CauseUnallocated)
 	}
 }
 
@@ -27,7 +27,7 @@
 
 func (e *explanation) emergency() {
 	if e != nil {
-		e.add("an emergency number: nothing bars, translates or looks it up")
+		e.add("emergency number: bars, translations and look-ups do not apply")
 	}
 }
 
@@ -55,13 +55,13 @@
 
 func (e *explanation) shortForm() {
 	if e != nil {
-		e.add("a short form, as it is")
+		e.add("short form: unchanged")
 	}
 }
 
 func (e *explanation) wrongLength(number *Digits, maxLength int) {
 	if e != nil {
-		e.add("%d digits, the table has 1 to %d: cause %d", number.n, maxLength, CauseUnallocated)
+		e.add("%d digits, the table allows 1 to %d: cause %d", number.n, maxLength, CauseUnallocated)
 	}
 }
 
@@ -71,7 +71,7 @@
 	case isBarred:
 		e.add("barred %d bars %s: cause %d", bar.ordinal, string(prefix), bar.cause)
 	default:
-		e.add("barred %d bars %s, not for class %q", bar.ordinal, string(prefix), class)
+		e.add("barred %d bars %s, but not for class %q", bar.ordinal, string(prefix), class)
 	}
 }
 
@@ -85,37 +85,38 @@
 	switch {
 	case e == nil:
 	case hasDefault:
-		e.add("nothing matches %s: the default", string(number))
+		e.add("no prefix matches %s: default route", string(number))
 	default:
-		e.add("nothing matches %s and there is no default: cause %d", string(number), CauseUnallocated)
+		e.add("no prefix matches %s and there is no default route: cause %d", string(number), CauseUnallocated)
 	}
 }
 
-func (e *explanation) lookUpFirst() {
+func (e *explanation) lookUpRequired() {
 	if e != nil {
-		e.add("its numbers may have moved: a look-up comes first")
+		e.add("the prefix is marked as ported: a portability look-up is required")
 	}
 }
 
-func (e *explanation) notMoved(state PortingState) {
+func (e *explanation) notPorted(state PortingState) {
 	switch {
 	case e == nil:
 	case state == NotPorted:
-		e.add("it may have moved; it stays")
+		e.add("not ported: routed by its own digits")
 	default:
-		e.add("it may have moved; nobody could tell in time")
+		e.add("no answer to the portability look-up in time: routed by its own digits")
 	}
 }
 
-func (e *explanation) movedTo(routing []byte, match *entry, prefix []byte) {
+func (e *explanation) portedTo(routing []byte, match *entry, prefix []byte) {
 	if e != nil {
-		e.add("it has moved to %s; the longest match is %s (entry %d)", string(routing), string(prefix), match.ordinal)
+		e.add("ported to routing number %s: the longest match is %s (entry %d)",
+			string(routing), string(prefix), match.ordinal)
 	}
 }
 
 func (e *explanation) routingNumberUnmatched(routing []byte) {
 	if e != nil {
-		e.add("it has moved to %s, which nothing matches: cause %d", string(routing), CauseNoRoute)
+		e.add("ported to routing number %s, which no prefix matches: cause %d", string(routing), CauseNoRoute)
 	}
 }
 
@@ -133,7 +134,7 @@
 
 func (e *explanation) noOpenTarget(route string) {
 	if e != nil {
-		e.add("route %s has no target at this time: cause %d", route, CauseNoRoute)
+		e.add("route %s has no open target at this time: cause %d", route, CauseNoRoute)
 	}
 }
 
--- a/internal/numbering/query.go
+++ b/internal/numbering/query.go
@@ -2,17 +2,17 @@
 
 // Query is one call to be routed.
 type Query struct {
-	Number string // as dialled; blanks and the characters -./() are ignored
-	Class  string // class of the call; bars may apply to some classes only
+	Number string // as dialled; spaces and the characters -./() are ignored
+	Class  string // class of the call; bars may be limited to classes
 	At     Time
-	Seed   uint64        // seed of the weighted choice of pools, the same for all attempts of a call; see Seed
+	Seed   uint64        // for the weighted choice of pools; equal for all attempts of a call, see Seed
 	Ported PortingResult // result of the portability look-up
 }
 
 // PortingResult is the result of the portability look-up of a number.
 type PortingResult struct {
 	State   PortingState
-	Routing Digits // routing number in E.164 digits, if State is Moved
+	Routing Digits // routing number, if State is Moved
 }
 
 // PortingState is the state of the portability look-up of a number.
@@ -32,8 +32,8 @@
 // Values of Verdict.
 const (
 	Routed         Verdict = iota
-	Rejected               // with Decision.Cause, without an attempt
-	LookUpRequired         // the number may be ported: it has to be looked up first
+	Rejected               // no attempt is made; the cause is Decision.Cause
+	LookUpRequired         // the query must be repeated with the result of a portability look-up
 )
 
 var verdictNames = [...]string{"routed", "refused", "ask"}
@@ -41,15 +41,15 @@
 // String returns the name that olivectl prints.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// MaxPools is the greatest number of pools in a decision; further targets are left out.
+// MaxPools is the maximum number of pools in a decision; further pools are dropped.
 const MaxPools = 16
 
-// Decision is the result of the analysis of a number.
+// Decision is the result of Table.Analyse.
 type Decision struct {
 	Verdict   Verdict
 	Cause     int // Q.850 cause, if the call is rejected
 	Emergency bool
-	Number    Digits // in E.164 form; as dialled for an emergency number
+	Number    Digits // in E.164 form; an emergency number is as dialled
 	Route     string
 	pools     [MaxPools]int16
 	poolCount uint8
@@ -64,7 +64,7 @@
 	return pools
 }
 
-// Pool returns the pool of preference i, from 0; ok is false if there are not so many.
+// Pool returns the pool at position i of the order of preference, from 0; ok is false if there is none.
 func (d *Decision) Pool(i int) (pool int, ok bool) {
 	if i < 0 || i >= int(d.poolCount) {
 		return 0, false
@@ -72,7 +72,7 @@
 	return int(d.pools[i]), true
 }
 
-// addPool appends a pool unless the decision has it already or is full.
+// addPool appends a pool unless it is already in the decision or the decision has MaxPools pools.
 func (d *Decision) addPool(pool int) {
 	for i := range int(d.poolCount) {
 		if int(d.pools[i]) == pool {
@@ -85,7 +85,7 @@
 	}
 }
 
-// reject makes d a rejection with a Q.850 cause.
+// reject sets the verdict to a rejection with a Q.850 cause.
 func (d *Decision) reject(cause int) {
 	d.Verdict = Rejected
 	d.Cause = cause
