--- a/internal/numbering/activationstate.go
+++ b/internal/numbering/activationstate.go
@@ -6,35 +6,36 @@
 	"fmt"
 )
 
-// ActivationState is the stored state of the versions: the digests of the active, the previous and the scheduled one.
+// ActivationState is the part of the state of a Registry that is stored: the digests of the active, the previous and
+// the scheduled version.
 type ActivationState struct {
 	Active      string `json:"active"`
-	Previous    string `json:"before,omitempty"` // active before
-	Scheduled   string `json:"next,omitempty"`   // scheduled
-	ScheduledAt Time   `json:"due,omitempty"`    // time of the scheduled activation
+	Previous    string `json:"before,omitempty"`
+	Scheduled   string `json:"next,omitempty"`
+	ScheduledAt Time   `json:"due,omitempty"` // time of the scheduled activation
 }
 
-// Encode returns the bytes that are stored.
+// Encode returns the stored form of s.
 func (s ActivationState) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // strings and a number can always be encoded
+		panic(err) // cannot happen: strings and a number can always be encoded
 	}
 	return b
 }
 
-// DecodeActivationState reads what Encode returned.
+// DecodeActivationState decodes the result of Encode.
 func DecodeActivationState(b []byte) (s ActivationState, err error) {
 	if err := json.Unmarshal(b, &s); err != nil {
 		return s, fmt.Errorf("numbering: %w", err)
 	}
 	if s.Active == "" {
-		return s, errors.New("numbering: no version in force is written down")
+		return s, errors.New("numbering: the stored state names no active version")
 	}
 	return s, nil
 }
 
-// ActivationState returns the state to be stored.
+// ActivationState returns the state that is to be stored.
 func (r *Registry) ActivationState() ActivationState {
 	return ActivationState{
 		Active:      r.active.digest(),
@@ -44,8 +45,8 @@
 	}
 }
 
-// Restore makes the versions active, previous and scheduled as they were when s was stored. The active version must be
-// loaded; others that are not loaded are left out.
+// Restore sets the active, the previous and the scheduled version to those of a stored state. The active version must
+// be loaded; the other two are ignored if they are not loaded.
 func (r *Registry) Restore(now Time, s ActivationState) error {
 	active := r.find(s.Active)
 	if active == nil {
--- a/internal/numbering/manager.go
+++ b/internal/numbering/manager.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Values of Order.Op.
+// Values of Command.Op.
 const (
 	OpLoad     = "load"
 	OpActivate = "activate"
@@ -14,64 +14,64 @@
 	OpCancel   = "cancel"
 )
 
-// Command is a command of an operator.
+// Command is an operator's command to a VersionManager.
 type Command struct {
 	Op             string
-	File           string // load: a file on the machine of the instance
-	Digest         string // activate: of the version
-	ExpectedActive string // activate, rollback: digest of the version that the operator saw as active
-	ActivateAt     Time   // activate: when; 0: at once
+	File           string // load: path of the rules file, on the machine of the instance
+	Digest         string // activate: digest of the version
+	ExpectedActive string // activate, rollback: digest of the version that the operator saw as active; "": none
+	ActivateAt     Time   // activate: time of the activation; 0: at once
 }
 
-// Job is the command that is being carried out, or the last one.
+// Job describes the command that is being executed or was executed last.
 type Job struct {
 	ID        uint64
 	Command   Command
 	StartedAt Time
 	IsRunning bool
-	Error     string // why the command failed; "": it has not
-	Digest    string // load: of the loaded table
+	Error     string // why the command failed; "": it did not fail
+	Digest    string // load: digest of the loaded table
 }
 
-// ErrCommandRunning means that another command is being carried out.
-var ErrCommandRunning = errors.New("another order is being carried out")
+// ErrCommandRunning means that another command is being executed.
+var ErrCommandRunning = errors.New("another command is running")
 
-// VersionManager carries out commands on a Registry, one at a time and without I/O. A command takes two steps, since a
+// VersionManager executes commands on a Registry, one at a time and without I/O. A command takes two steps, since a
 // write to disk is slow and must not block the event loop: Begin checks the command and returns the state to be stored,
-// and Finish applies the command when the state is stored. A VersionManager belongs to one goroutine.
+// and Finish applies the command after the state has been stored. A VersionManager must be used by one goroutine only.
 type VersionManager struct {
 	Registry
 	job Job
 }
 
-// Tick performs a scheduled activation that is due and reports whether there was one. While a command is carried out
-// nothing is activated, so that the state that was checked and stored is the one that Finish finds. The activation need
-// not be stored: after a restart the same Standing leads to the same active version.
-func (d *VersionManager) Tick(now Time) bool { return !d.job.IsRunning && d.Registry.Tick(now) }
+// Tick performs the scheduled activation if it is due, and reports whether it did. It does nothing while a command is
+// being executed, so that Finish finds the state that Begin checked and that was stored. The activation need not be
+// stored: after a restart, the same ActivationState leads to the same active version.
+func (m *VersionManager) Tick(now Time) bool { return !m.job.IsRunning && m.Registry.Tick(now) }
 
-// Job returns the command that is being carried out, or the last one.
-func (d *VersionManager) Job() Job { return d.job }
+// Job returns the command that is being executed or was executed last.
+func (m *VersionManager) Job() Job { return m.job }
 
-// Begin starts a command. save is the state that is to be stored before Finish; it is nil for a load, which Loaded
-// ends. The error is ErrCommandRunning while another command is carried out.
-func (d *VersionManager) Begin(now Time, o Command) (id uint64, save *ActivationState, err error) {
-	if d.job.IsRunning {
-		duration := (now - d.job.StartedAt).Round(time.Millisecond)
-		return 0, nil, fmt.Errorf("%w: %s since %v", ErrCommandRunning, d.job.Command.Op, duration)
+// Begin starts a command. save is the state to be stored before Finish is called; it is nil for a load, which
+// FinishLoad ends. The error is ErrCommandRunning while another command is being executed.
+func (m *VersionManager) Begin(now Time, command Command) (id uint64, save *ActivationState, err error) {
+	if m.job.IsRunning {
+		duration := (now - m.job.StartedAt).Round(time.Millisecond)
+		return 0, nil, fmt.Errorf("%w: %s for %v", ErrCommandRunning, m.job.Command.Op, duration)
 	}
-	trial := d.copyForTrial()
-	if err := trial.apply(now, o); err != nil {
+	trial := m.copyForTrial()
+	if err := trial.apply(now, command); err != nil {
 		return 0, nil, err
 	}
-	if o.Op != OpLoad {
-		standing := trial.ActivationState()
-		save = &standing
+	if command.Op != OpLoad {
+		state := trial.ActivationState()
+		save = &state
 	}
-	d.job = Job{ID: d.job.ID + 1, Command: o, StartedAt: now, IsRunning: true}
-	return d.job.ID, save, nil
+	m.job = Job{ID: m.job.ID + 1, Command: command, StartedAt: now, IsRunning: true}
+	return m.job.ID, save, nil
 }
 
-// copyForTrial returns a copy of the registry on which a command can be applied without a change to the original.
+// copyForTrial returns a copy of the registry, to which a command can be applied without changing the original.
 func (r *Registry) copyForTrial() *Registry {
 	trial := &Registry{scheduledAt: r.scheduledAt}
 	for _, v := range r.versions {
@@ -90,47 +90,48 @@
 	return trial
 }
 
-// apply carries out a command on the registry. A load changes nothing: its table comes with Loaded.
-func (r *Registry) apply(now Time, o Command) error {
-	switch o.Op {
+// apply applies a command to the registry. A load changes nothing, since FinishLoad adds its table.
+func (r *Registry) apply(now Time, command Command) error {
+	switch command.Op {
 	case OpLoad:
 		return nil
 	case OpActivate:
-		return r.Activate(now, o.Digest, o.ExpectedActive, o.ActivateAt)
+		return r.Activate(now, command.Digest, command.ExpectedActive, command.ActivateAt)
 	case OpRollback:
-		return r.Rollback(now, o.ExpectedActive)
+		return r.Rollback(now, command.ExpectedActive)
 	case OpCancel:
 		r.Cancel()
 		return nil
 	}
-	return fmt.Errorf("%q is none of load, activate, rollback, cancel", o.Op)
+	return fmt.Errorf("%q is not one of load, activate, rollback, cancel", command.Op)
 }
 
-// FinishLoad ends a load with the table, or with the error for which there is none.
-func (d *VersionManager) FinishLoad(now Time, t *Table, err error) {
+// FinishLoad ends a load with its table, or with the error because of which there is no table.
+func (m *VersionManager) FinishLoad(now Time, t *Table, err error) {
 	if err == nil {
-		err = d.Load(now, t)
+		err = m.Load(now, t)
 	}
 	if err == nil {
-		d.job.Digest = t.Digest()
+		m.job.Digest = t.Digest()
 	}
-	d.end(err)
+	m.end(err)
 }
 
-// Finish ends a command other than a load. saveErr is the error with which its state could not be stored; then the
-// command fails and changes nothing.
-func (d *VersionManager) Finish(now Time, saveErr error) error {
+// Finish ends a command other than a load. If the state could not be stored, saveErr is the error: the command fails
+// and changes nothing.
+func (m *VersionManager) Finish(now Time, saveErr error) error {
 	err := saveErr
 	if err == nil {
-		err = d.apply(now, d.job.Command)
+		err = m.apply(now, m.job.Command)
 	}
-	d.end(err)
+	m.end(err)
 	return err
 }
 
-func (d *VersionManager) end(err error) {
-	d.job.IsRunning = false
+// end records the result of a command.
+func (m *VersionManager) end(err error) {
+	m.job.IsRunning = false
 	if err != nil {
-		d.job.Error = err.Error()
+		m.job.Error = err.Error()
 	}
 }
--- a/internal/numbering/registry.go
+++ b/internal/numbering/registry.go
@@ -8,28 +8,28 @@
 	"slices"
 )
 
-// maxVersions bounds the tables that are loaded at once.
+// maxVersions limits the number of tables that are loaded at a time.
 const maxVersions = 8
 
 // Errors of a Registry.
 var (
-	// ErrVersionConflict means that another version has become active, or has been scheduled, since the operator
-	// looked: of two operators who activate at the same time, one gets this error.
+	// ErrVersionConflict means that the active version is not the one that the operator saw, or that another version is
+	// scheduled. If two operators activate versions at the same time, one of them gets this error.
 	ErrVersionConflict = errors.New("the version in force is not the one you saw")
-	// ErrUnknownVersion means that no version with the digest is loaded.
+	// ErrUnknownVersion means that no version with the given digest is loaded.
 	ErrUnknownVersion = errors.New("no such version is loaded")
-	// ErrTooManyVersions means that all loaded versions are in use or may be needed.
-	ErrTooManyVersions = errors.New("no room for another version")
+	// ErrTooManyVersions means that maxVersions are loaded and none of them can be removed.
+	ErrTooManyVersions = errors.New("too many versions")
 	// ErrNoPrevious means that there is no version to roll back to.
-	ErrNoPrevious = errors.New("there was no other version in force")
+	ErrNoPrevious = errors.New("there is no previous version")
 )
 
-// Registry keeps the versions of a table: which are loaded, which is active, which is scheduled, and how many calls use
-// each. It is a state machine without I/O for one goroutine. The zero value has no versions.
+// Registry keeps the loaded versions of the table, which of them is active and which is scheduled, and the number of
+// calls that use each. It performs no I/O and must be used by one goroutine only. The zero value has no versions.
 type Registry struct {
 	versions    []*version // in the order of loading
 	active      *version
-	previous    *version // active before, kept for a rollback
+	previous    *version // active before the current one, kept for a rollback
 	scheduled   *version // to be activated at scheduledAt
 	scheduledAt Time
 }
@@ -38,11 +38,11 @@
 type version struct {
 	table       *Table
 	loadedAt    Time
-	activatedAt Time // 0: it has never been active
-	pins        int
+	activatedAt Time // time of the last activation; 0: never active
+	refCount    int  // unreleased references
 }
 
-// digest returns the digest of the version's table, "" for nil.
+// digest returns the digest of the table, "" if v is nil.
 func (v *version) digest() string {
 	if v == nil {
 		return ""
@@ -50,36 +50,36 @@
 	return v.table.Digest()
 }
 
-// TableRef is the reference of one call to one version: the call uses this table to its end, whatever is activated
-// meanwhile. A nil TableRef refers to no version.
+// TableRef is the reference of a call to a version. The call uses the table of this version until it ends, even if
+// another version is activated meanwhile. A nil TableRef refers to no version.
 type TableRef struct{ version *version }
 
-// Table returns the table of the version; nil if there is none or the pin has been released.
-func (p *TableRef) Table() *Table {
-	if p == nil || p.version == nil {
+// Table returns the table of the version, or nil if there is none or the reference has been released.
+func (ref *TableRef) Table() *Table {
+	if ref == nil || ref.version == nil {
 		return nil
 	}
-	return p.version.table
+	return ref.version.table
 }
 
-// Release ends the reference. A second Release has no effect.
-func (p *TableRef) Release() {
-	if p != nil && p.version != nil {
-		p.version.pins--
-		p.version = nil
+// Release releases the reference. Further calls have no effect.
+func (ref *TableRef) Release() {
+	if ref != nil && ref.version != nil {
+		ref.version.refCount--
+		ref.version = nil
 	}
 }
 
-// Acquire returns a reference to the active version; nil if there is none.
+// Acquire returns a reference to the active version, or nil if there is none.
 func (r *Registry) Acquire() *TableRef {
 	if r.active == nil {
 		return nil
 	}
-	r.active.pins++
+	r.active.refCount++
 	return &TableRef{r.active}
 }
 
-// Active returns the active table; nil if there is none.
+// Active returns the active table, or nil if there is none.
 func (r *Registry) Active() *Table {
 	if r.active == nil {
 		return nil
@@ -87,7 +87,7 @@
 	return r.active.table
 }
 
-// find returns the version with a digest; nil if it is not loaded.
+// find returns the version with a digest, or nil if it is not loaded.
 func (r *Registry) find(digest string) *version {
 	for _, v := range r.versions {
 		if v.digest() == digest {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Load adds a compiled table and activates nothing. A table that is loaded already is not added again. If there are too
-// many, the oldest version that is not in use is removed.
+// Load adds a compiled table without activating it. A table that is already loaded is not added again. If maxVersions
+// are loaded, the oldest version that is not in use is removed.
 func (r *Registry) Load(now Time, t *Table) error {
 	if r.find(t.Digest()) != nil {
 		return nil
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// evictOldest removes the oldest version that is not in use; false if there is none.
+// evictOldest removes the oldest version that is not in use. It returns false if there is none.
 func (r *Registry) evictOldest() bool {
 	i := slices.IndexFunc(r.versions, func(v *version) bool { return !r.isInUse(v) })
 	if i < 0 {
@@ -120,24 +120,24 @@
 	return true
 }
 
-// isInUse reports whether calls use a version, or an activation or a rollback may need it.
+// isInUse reports whether calls use a version or it is the active, the previous or the scheduled one.
 func (r *Registry) isInUse(v *version) bool {
-	return v.pins > 0 || v == r.active || v == r.previous || v == r.scheduled
+	return v.refCount > 0 || v == r.active || v == r.previous || v == r.scheduled
 }
 
-// Activate activates a loaded version at once, or schedules it if at is later than now. seen is the digest of the
-// version that the operator saw as active, "" for none. If another version is scheduled, the error is an
-// ErrVersionConflict; if the same one is, its time is changed.
-func (r *Registry) Activate(now Time, digest, seen string, at Time) error {
+// Activate activates a loaded version, or schedules its activation if at is later than now. expectedActive is the
+// digest of the version that the operator saw as active, "" for none. If another version is scheduled, the error is an
+// ErrVersionConflict; if the same one is scheduled, its time is changed.
+func (r *Registry) Activate(now Time, digest, expectedActive string, at Time) error {
 	v := r.find(digest)
 	if v == nil {
 		return fmt.Errorf("%w: %s", ErrUnknownVersion, digest)
 	}
-	if err := r.checkActive(seen); err != nil {
+	if err := r.checkActive(expectedActive); err != nil {
 		return err
 	}
 	if r.scheduled != nil && r.scheduled != v {
-		return fmt.Errorf("%w: %s is to come into force; cancel that first", ErrVersionConflict, r.scheduled.digest())
+		return fmt.Errorf("%w: %s is scheduled; cancel it first", ErrVersionConflict, r.scheduled.digest())
 	}
 	if at > now {
 		r.scheduled = v
@@ -148,12 +148,12 @@
 	return nil
 }
 
-// Cancel drops a scheduled activation.
+// Cancel cancels the scheduled activation, if there is one.
 func (r *Registry) Cancel() { r.scheduled = nil }
 
-// Rollback activates the version that was active before; seen as for Activate.
-func (r *Registry) Rollback(now Time, seen string) error {
-	if err := r.checkActive(seen); err != nil {
+// Rollback activates the version that was active before the current one. expectedActive is used as in Activate.
+func (r *Registry) Rollback(now Time, expectedActive string) error {
+	if err := r.checkActive(expectedActive); err != nil {
 		return err
 	}
 	if r.previous == nil {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// checkActive returns an ErrVersionConflict unless the active version has a digest.
+// checkActive returns an ErrVersionConflict unless the active version has the given digest.
 func (r *Registry) checkActive(digest string) error {
 	active := r.active.digest()
 	if active == digest {
@@ -172,7 +172,8 @@
 	return fmt.Errorf("%w: %s is in force", ErrVersionConflict, cmp.Or(active, "none"))
 }
 
-// setActive makes a version the active one. It drops a scheduled activation, which was ordered over another version.
+// setActive makes a version the active one. It cancels a scheduled activation, since that was ordered while another
+// version was active.
 func (r *Registry) setActive(now Time, v *version) {
 	r.scheduled = nil
 	if v == r.active {
@@ -183,7 +184,7 @@
 	v.activatedAt = now
 }
 
-// Tick performs a scheduled activation that is due and reports whether there was one.
+// Tick performs the scheduled activation if it is due, and reports whether it did.
 func (r *Registry) Tick(now Time) bool {
 	if r.scheduled == nil || now < r.scheduledAt {
 		return false
@@ -192,7 +193,7 @@
 	return true
 }
 
-// NextActivation returns the time at which Tick is due, math.MaxInt64 if nothing is scheduled.
+// NextActivation returns the time of the scheduled activation, math.MaxInt64 if there is none.
 func (r *Registry) NextActivation() Time {
 	if r.scheduled == nil {
 		return math.MaxInt64
--- a/internal/numbering/status.go
+++ b/internal/numbering/status.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// States of a version, as printed by olivectl.
+// Values of VersionStatus.State, as printed by olivectl.
 const (
 	StateActive    = "in force"
-	StatePrevious  = "before"  // active before; Rollback activates it
-	StateScheduled = "waiting" // scheduled to be activated at Status.Due
+	StatePrevious  = "before"  // active before the current one; Rollback activates it
+	StateScheduled = "waiting" // to be activated at VersionStatus.ScheduledAt
 	StateLoaded    = "loaded"
 )
 
-// VersionStatus is the state of one loaded version. Its JSON names are an interface of olivectl.
+// VersionStatus describes a loaded version. Its JSON names are part of the interface of olivectl.
 type VersionStatus struct {
 	Digest      string `json:"Digest"`
 	Name        string `json:"Name"`
 	State       string `json:"State"`
-	Prefixes    int    `json:"Entries"` // prefixes of the table
-	Calls       int    `json:"Pins"`    // calls that use the version
+	Prefixes    int    `json:"Entries"` // number of prefixes of the table
+	Calls       int    `json:"Pins"`    // number of calls that use the version
 	LoadedAt    Time   `json:"Loaded"`
-	ActivatedAt Time   `json:"Since"` // last activation; 0: it has never been active
-	ScheduledAt Time   `json:"Due"`   // scheduled activation, if State is Waiting
+	ActivatedAt Time   `json:"Since"` // time of the last activation; 0: never active
+	ScheduledAt Time   `json:"Due"`   // time of the scheduled activation, if State is StateScheduled
 }
 
-// List returns the states of all versions, the last loaded first.
+// List returns the status of all versions, the last loaded first.
 func (r *Registry) List() []VersionStatus {
 	var all []VersionStatus
 	for _, v := range slices.Backward(r.versions) {
@@ -37,7 +37,7 @@
 		Name:        v.table.Version,
 		State:       StateLoaded,
 		Prefixes:    v.table.PrefixCount(),
-		Calls:       v.pins,
+		Calls:       v.refCount,
 		LoadedAt:    v.loadedAt,
 		ActivatedAt: v.activatedAt,
 	}
