--- a/internal/portability/budget.go
+++ b/internal/portability/budget.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Budget bounds the part of a caller's time that a look-up may take: the rest must suffice for two attempts, the retry
-// guard between them, and the final answer.
+// Budget limits the time of a look-up. The time that remains until the caller's deadline must suffice for two attempts,
+// the guard time between them and the final answer.
 type Budget struct {
-	AttemptDuration time.Duration // for an attempt to be established or to fail
-	RetryGuard      time.Duration // between two attempts
-	AnswerDuration  time.Duration // for the final answer to reach the caller
-	MaxShare        float64       // maximum share of the time that is left
+	AttemptDuration time.Duration // time for an attempt to be established or to fail
+	RetryGuard      time.Duration // guard time between two attempts
+	AnswerDuration  time.Duration // time for the final answer to reach the caller
+	MaxShare        float64       // maximum share of the remaining time, 0 to 1
 }
 
-// LookUpTime returns the time for a look-up if left is the time until the caller's deadline; 0 if there is none.
-func (b Budget) LookUpTime(left time.Duration) time.Duration {
-	spare := left - 2*b.AttemptDuration - b.RetryGuard - b.AnswerDuration
-	share := time.Duration(b.MaxShare * float64(left))
+// LookUpTime returns the time that a look-up may take if the caller's deadline is remaining from now. It is 0 if there
+// is no time for a look-up.
+func (b Budget) LookUpTime(remaining time.Duration) time.Duration {
+	spare := remaining - 2*b.AttemptDuration - b.RetryGuard - b.AnswerDuration
+	share := time.Duration(b.MaxShare * float64(remaining))
 	return max(min(spare, share), 0)
 }
--- a/internal/portability/cache.go
+++ b/internal/portability/cache.go
@@ -7,14 +7,14 @@
 	"olivedale/internal/numbering"
 )
 
-// answerCache stores answers by number, within a number of entries and of bytes. The entries that were added first are
-// evicted first.
+// answerCache stores answers by number. The count and the total size of the entries are limited; the oldest entries
+// are evicted first.
 type answerCache struct {
 	entries    map[string]*list.Element // of *cacheEntry
-	order      *list.List               // by time of addition, the oldest in front
+	order      *list.List               // by time of addition, the oldest first
 	maxEntries int
 	maxBytes   int
-	size       int // in bytes, approximate
+	size       int // total size of the entries in bytes, approximate
 }
 
 type cacheEntry struct {
@@ -23,7 +23,7 @@
 	expiresAt Time
 }
 
-// entryOverhead is the approximate size of an entry without its number, in bytes.
+// entryOverhead is the approximate size in bytes of an entry without its number.
 const entryOverhead = 200
 
 func (e *cacheEntry) size() int { return entryOverhead + len(e.number) }
@@ -37,14 +37,15 @@
 	}
 }
 
-// cachedAnswer is the result of a look in the cache. The zero value means that there is no entry.
+// cachedAnswer is the result of answerCache.get. The zero value means that there is no entry.
 type cachedAnswer struct {
 	ported  numbering.PortingResult
 	exists  bool
 	isFresh bool // within its TTL
 }
 
-// get returns the answer for a number, until staleTTL after it expires. Later the entry is removed.
+// get returns the answer for a number. An expired answer is returned for another staleTTL; after that the entry is
+// removed.
 func (c *answerCache) get(now Time, number string, staleTTL time.Duration) cachedAnswer {
 	element := c.entries[number]
 	if element == nil {
@@ -58,7 +59,8 @@
 	return cachedAnswer{ported: entry.ported, exists: true, isFresh: now < entry.expiresAt}
 }
 
-// put adds an answer, in place of an older one for the number, and evicts the oldest entries over the bounds.
+// put adds an answer, which replaces an older one for the same number, and evicts the oldest entries while a limit is
+// exceeded.
 func (c *answerCache) put(number string, ported numbering.PortingResult, expiresAt Time) {
 	if element := c.entries[number]; element != nil {
 		c.remove(element)
--- a/internal/portability/doc.go
+++ b/internal/portability/doc.go
@@ -1,6 +1,6 @@
-// Package portability decides how numbers that may have been ported are looked up: which query goes to which server,
-// how long an answer is waited for, which answers are cached, and what a call gets if no server answers.
+// Package portability implements the look-up of numbers that may have been ported. It selects the server for each
+// query, and handles time-outs, retries, caching, and the result of a call if no server answers.
 //
-// A Resolver is a state machine without I/O: requests, answers and the Time go in, a list of Actions comes out. Sockets
-// and DNS messages belong to package enum.
+// A Resolver is a state machine without I/O. Its methods take requests, answers and the current time, and return the
+// Actions that the caller has to carry out. Sockets and DNS messages belong to package enum.
 package portability
--- a/internal/portability/lookup.go
+++ b/internal/portability/lookup.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// lookup is the look-up of one number, for all calls that wait for it.
+// lookup is the look-up of a number on behalf of all calls that wait for its result.
 type lookup struct {
 	number       string
-	queryID      uint16
-	server       int // of the last query; -1: no query has been sent
-	tries        int
-	queryTimeout Time // of the last query
+	queryID      uint16 // of the last query
+	server       int    // of the last query; -1: no query has been sent
+	tries        int    // number of queries sent
+	queryTimeout Time   // time at which the last query times out
 	waiters      []waiter
 }
 
-// waiter is a call that waits for a look-up, until its deadline.
+// waiter is a call that waits for the result of a look-up until its deadline.
 type waiter struct {
 	call     string
 	deadline Time
 }
 
-// removeWaiter removes a call.
+// removeWaiter removes the waiter of a call.
 func (l *lookup) removeWaiter(call string) {
 	l.waiters = slices.DeleteFunc(l.waiters, func(w waiter) bool { return w.call == call })
 }
@@ -36,7 +36,7 @@
 	return expired
 }
 
-// nextDeadline returns the earliest time at which the query or a waiter expires.
+// nextDeadline returns the earliest time at which the query times out or the deadline of a waiter passes.
 func (l *lookup) nextDeadline() Time {
 	next := l.queryTimeout
 	for _, w := range l.waiters {
@@ -45,7 +45,7 @@
 	return next
 }
 
-// lookupTable finds open look-ups by number, by the ID of their query and by waiting call.
+// lookupTable indexes the open look-ups by number, by the ID of the last query and by waiting call.
 type lookupTable struct {
 	byNumber map[string]*lookup
 	byID     map[uint16]*lookup
@@ -60,7 +60,7 @@
 	}
 }
 
-// add adds a look-up of a number, without a query or waiters.
+// add adds a look-up of a number. It has no query and no waiters yet.
 func (t *lookupTable) add(number string) *lookup {
 	l := &lookup{number: number, server: -1}
 	t.byNumber[number] = l
@@ -72,13 +72,13 @@
 	t.byCall[w.call] = l
 }
 
-// setQueryID changes the ID of the look-up's query.
+// setQueryID sets the ID of the current query of a look-up. The previous query must have been removed.
 func (t *lookupTable) setQueryID(l *lookup, id uint16) {
 	l.queryID = id
 	t.byID[id] = l
 }
 
-// removeQuery forgets the query of a look-up: its answer is unexpected from now on.
+// removeQuery removes the current query of a look-up from the index. Its answer counts as unmatched from now on.
 func (t *lookupTable) removeQuery(l *lookup) {
 	if l.tries > 0 {
 		delete(t.byID, l.queryID)
@@ -94,7 +94,7 @@
 	}
 }
 
-// sorted returns all look-ups in the order of their query IDs.
+// sorted returns all look-ups, sorted by query ID.
 func (t *lookupTable) sorted() []*lookup {
 	all := make([]*lookup, 0, len(t.byNumber))
 	for _, l := range t.byNumber {
--- a/internal/portability/property_test.go
+++ b/internal/portability/property_test.go
@@ -12,18 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-// resolverTest drives a Resolver with random events and checks its actions.
+// resolverTest applies random events to a Resolver and checks its actions.
 type resolverTest struct {
 	*rapid.T
 	settings  Settings
 	resolver  *Resolver
 	now       Time
-	deadlines map[string]Time // of waiting calls
-	queries   []SendQuery     // all that have been sent
+	deadlines map[string]Time // by waiting call
+	queries   []SendQuery     // all queries that have been sent
 }
 
-// Whatever the servers do, each call gets one result, by its deadline at the latest, or none if it is canceled; no
-// query goes to a server whose breaker is open; all bounds hold; and no look-up is left at the end.
+// With random answers, failures and cancellations: each call gets exactly one result by its deadline, or none if it is
+// canceled; no query is sent to a server whose breaker is open; all limits hold; and no look-up remains at the end.
 func TestEveryCallGetsOneResultInTime(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
@@ -60,11 +60,11 @@
 		t.check(t.resolver.HandleTimeouts(t.now))
 	}
 	if len(t.deadlines) > 0 || indexedLookups(t.resolver) > 0 {
-		t.Fatalf("left: %v, %d open", t.deadlines, len(t.resolver.lookups.byNumber))
+		t.Fatalf("waiting calls %v and %d look-ups remain", t.deadlines, len(t.resolver.lookups.byNumber))
 	}
 }
 
-// advance lets time pass, with HandleTimeouts at each deadline, as a caller of the resolver does.
+// advance moves the time forward and calls HandleTimeouts at each deadline, as a user of the resolver does.
 func (t *resolverTest) advance(duration Time) {
 	end := t.now + duration
 	for t.resolver.NextDeadline() <= end {
@@ -81,7 +81,7 @@
 	t.check(t.resolver.LookUp(t.now, call, number, deadline))
 }
 
-// answer answers one of the queries, perhaps not for the first time, or with a failure or a mismatched answer.
+// answer handles an answer, a failure or a mismatched answer for one of the queries, which may already be answered.
 func (t *resolverTest) answer(a Answer) {
 	q := t.queries[rapid.IntRange(0, len(t.queries)-1).Draw(t.T, "query")]
 	switch rapid.IntRange(0, 4).Draw(t.T, "answer") {
@@ -115,7 +115,7 @@
 		case DeliverResult:
 			deadline, isWaiting := t.deadlines[a.Call]
 			if !isWaiting {
-				t.Fatalf("%s got a second result, or one after it was canceled", a.Call)
+				t.Fatalf("%s got a second result or was canceled", a.Call)
 			}
 			if t.now > deadline {
 				t.Fatalf("%s got its result %v after its deadline", a.Call, t.now-deadline)
--- a/internal/portability/resolver.go
+++ b/internal/portability/resolver.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/numbering"
 )
 
-// Resolver carries out look-ups. It belongs to one goroutine.
+// Resolver executes look-ups. It must be used by one goroutine only.
 type Resolver struct {
 	Counters
 	settings Settings
@@ -15,11 +15,11 @@
 	lookups  lookupTable
 	breakers []breaker // by server
 	cache    answerCache
-	actions  []Action // of the method that is being executed
+	actions  []Action // collected by the current method
 }
 
-// NewResolver returns a Resolver. The IDs of queries come from random. Whoever can predict them can forge answers, so
-// in service the seed must be secret.
+// NewResolver returns a Resolver that draws the IDs of queries from random. Predictable IDs would allow forged answers,
+// so the seed must be secret in production.
 func NewResolver(settings Settings, random *rand.Rand) *Resolver {
 	return &Resolver{
 		settings: settings,
@@ -30,15 +30,15 @@
 	}
 }
 
-// takeActions returns the actions of the current method and clears them.
+// takeActions returns the actions that the current method has collected and clears them.
 func (r *Resolver) takeActions() []Action {
 	actions := r.actions
 	r.actions = nil
 	return actions
 }
 
-// LookUp looks a number of E.164 digits up for a call, which waits until its deadline at most. A cached answer is
-// delivered at once.
+// LookUp requests the look-up of a number, given in E.164 digits, for a call that waits until its deadline at most. A
+// cached answer within its TTL is delivered at once.
 func (r *Resolver) LookUp(now Time, call, number string, deadline Time) []Action {
 	r.Calls++
 	if cached := r.cache.get(now, number, r.settings.StaleTTL); cached.isFresh {
@@ -47,14 +47,14 @@
 		return r.takeActions()
 	}
 	if r.lookups.byCall[call] != nil {
-		return r.takeActions() // the call waits already and gets one result
+		return r.takeActions() // the call already waits for a result
 	}
 	r.join(now, number, waiter{call, deadline})
 	return r.takeActions()
 }
 
-// join makes a call wait for the look-up of a number, which is started if there is none yet. A call that cannot wait
-// gets its fallback result.
+// join makes a call wait for the look-up of a number, and starts the look-up unless one is open. If the deadline has
+// passed or a limit is reached, the call gets its fallback result.
 func (r *Resolver) join(now Time, number string, w waiter) {
 	l := r.lookups.byNumber[number]
 	isExpired := w.deadline <= now
@@ -77,11 +77,13 @@
 	r.sendQuery(now, l)
 }
 
+// deliver adds the action that delivers a result to a call.
 func (r *Resolver) deliver(call string, result Result) {
 	r.actions = append(r.actions, DeliverResult{call, result})
 }
 
-// deliverFallback gives a call the result without an answer: a cached answer after its TTL, or none.
+// deliverFallback delivers the result of a look-up without an answer: a cached answer, if there is one, or that the
+// state of the number is unknown.
 func (r *Resolver) deliverFallback(now Time, call, number string) {
 	if cached := r.cache.get(now, number, r.settings.StaleTTL); cached.exists {
 		r.StaleCacheHits++
@@ -92,8 +94,8 @@
 	r.deliver(call, Result{numbering.PortingResult{State: numbering.PortingUnknown}, OriginNone})
 }
 
-// sendQuery sends the query of a look-up to the next server whose circuit breaker allows it. If there is none, or no
-// try is left, the look-up ends without an answer.
+// sendQuery sends a query for a look-up to the next server whose circuit breaker allows it. If there is no such server,
+// or MaxTries queries have been sent, the look-up ends without an answer.
 func (r *Resolver) sendQuery(now Time, l *lookup) {
 	r.lookups.removeQuery(l)
 	server, ok := r.nextServer(now, l)
@@ -110,8 +112,8 @@
 	r.actions = append(r.actions, SendQuery{server, l.queryID, l.number})
 }
 
-// nextServer returns the server for the next query: the first whose circuit breaker allows it, counted from the one
-// after the last that was queried. ok is false if there is none or no try is left.
+// nextServer returns the server for the next query: starting after the server of the last query, the first whose
+// circuit breaker allows a query. ok is false if there is none or MaxTries queries have been sent.
 func (r *Resolver) nextServer(now Time, l *lookup) (server int, ok bool) {
 	if l.tries >= r.settings.MaxTries {
 		return 0, false
@@ -125,7 +127,7 @@
 	return 0, false
 }
 
-// unusedID draws an ID that no open query has. There are far fewer open queries than IDs.
+// unusedID draws an ID that no open query has. The loop ends soon, since there are far fewer open queries than IDs.
 func (r *Resolver) unusedID() uint16 {
 	for {
 		id := uint16(r.random.Uint32())
@@ -135,14 +137,14 @@
 	}
 }
 
-// recordFailure counts a failure of a server.
+// recordFailure records a failure of a server in its circuit breaker.
 func (r *Resolver) recordFailure(now Time, server int) {
 	if r.breakers[server].recordFailure(now, r.settings.BreakerThreshold, r.settings.BreakerCooldown) {
 		r.BreakerOpenings++
 	}
 }
 
-// fail ends a look-up without an answer.
+// fail ends a look-up without an answer. All waiting calls get their fallback result.
 func (r *Resolver) fail(now Time, l *lookup) {
 	r.lookups.remove(l)
 	for _, w := range l.waiters {
@@ -150,9 +152,9 @@
 	}
 }
 
-// HandleAnswer takes an answer, with the server it came from, the ID of its message and the number of its question. An
-// answer with an unknown ID has no effect. An answer that does not match its query counts as a failure of the server
-// that sent it, and the query stays open for the right answer.
+// HandleAnswer handles an answer, given the server that sent it, the ID of its message and the number in its question.
+// An answer with an unknown ID is ignored. An answer whose server or number differs from the query counts as a failure
+// of the server that sent it; the query stays open for the correct answer.
 func (r *Resolver) HandleAnswer(now Time, server int, id uint16, number string, answer Answer) []Action {
 	l := r.lookups.byID[id]
 	if l == nil {
@@ -172,7 +174,7 @@
 	return r.takeActions()
 }
 
-// succeed ends a look-up with an answer, which is cached.
+// succeed ends a look-up with an answer, caches it and delivers it to all waiting calls.
 func (r *Resolver) succeed(now Time, l *lookup, answer Answer) {
 	ported := numbering.PortingResult{State: numbering.NotPorted}
 	ttl := r.settings.NegativeTTL
@@ -187,8 +189,8 @@
 	}
 }
 
-// HandleFailure takes the failure of a query: the server reported an error, the message could not be decoded or was
-// truncated, or it could not be sent. The next server is queried.
+// HandleFailure handles the failure of a query: the server reported an error, the answer could not be decoded or was
+// truncated, or the query could not be sent. The next server is queried.
 func (r *Resolver) HandleFailure(now Time, server int, id uint16) []Action {
 	l := r.lookups.byID[id]
 	if l == nil || l.server != server {
@@ -201,7 +203,7 @@
 	return r.takeActions()
 }
 
-// Cancel removes a call, which gets no result. A look-up for which no call waits ends.
+// Cancel removes a call, which gets no result. If no other call waits for the look-up, the look-up ends.
 func (r *Resolver) Cancel(call string) {
 	l := r.lookups.byCall[call]
 	if l == nil {
@@ -214,13 +216,13 @@
 	}
 }
 
-// abandon ends a look-up for which no call waits.
+// abandon ends a look-up for which no call waits any more.
 func (r *Resolver) abandon(l *lookup) {
 	r.lookups.remove(l)
 	r.breakers[l.server].cancelProbe()
 }
 
-// HandleTimeouts ends queries without an answer and the waiting of calls whose deadline has passed.
+// HandleTimeouts handles queries that have timed out and calls whose deadline has passed.
 func (r *Resolver) HandleTimeouts(now Time) []Action {
 	open := r.lookups.sorted()
 	for _, l := range open {
@@ -230,7 +232,7 @@
 			r.recordFailure(now, l.server)
 		}
 	}
-	// Queries are sent after all failures are counted, so that they pass over servers that have failed for others.
+	// Queries are sent after all failures have been recorded, so that they avoid servers whose breaker has just opened.
 	for _, l := range open {
 		if len(l.waiters) == 0 {
 			r.abandon(l)
@@ -241,7 +243,7 @@
 	return r.takeActions()
 }
 
-// expireWaiters gives the calls whose deadline has passed their fallback result.
+// expireWaiters delivers the fallback result to the calls whose deadline has passed.
 func (r *Resolver) expireWaiters(now Time, l *lookup) {
 	for _, w := range l.removeExpired(now) {
 		delete(r.lookups.byCall, w.call)
@@ -249,7 +251,7 @@
 	}
 }
 
-// NextDeadline returns the time at which HandleTimeouts is due, math.MaxInt64 if no look-up is open.
+// NextDeadline returns the time at which HandleTimeouts must be called next, math.MaxInt64 if no look-up is open.
 func (r *Resolver) NextDeadline() Time {
 	next := Time(math.MaxInt64)
 	for _, l := range r.lookups.byNumber {
--- a/internal/portability/resolver_test.go
+++ b/internal/portability/resolver_test.go
@@ -36,7 +36,7 @@
 	return Answer{Ported: true, Routing: routing, TTL: time.Minute}
 }
 
-// queriesIn returns the queries among actions.
+// queriesIn returns the SendQuery actions.
 func queriesIn(actions []Action) (queries []SendQuery) {
 	for _, a := range actions {
 		if query, ok := a.(SendQuery); ok {
@@ -46,7 +46,7 @@
 	return queries
 }
 
-// resultsIn returns the results among actions by call.
+// resultsIn returns the results of the DeliverResult actions by call.
 func resultsIn(actions []Action) map[string]Result {
 	results := make(map[string]Result)
 	for _, a := range actions {
@@ -57,7 +57,7 @@
 	return results
 }
 
-// indexedLookups returns the number of entries in all indexes of look-ups: 0 if none is open.
+// indexedLookups returns the total number of entries in the indexes of look-ups, 0 if no look-up is open.
 func indexedLookups(r *Resolver) int {
 	return len(r.lookups.byNumber) + len(r.lookups.byID) + len(r.lookups.byCall)
 }
@@ -98,12 +98,12 @@
 		t.Errorf("%+v", got)
 	}
 	if r.NextDeadline() != math.MaxInt64 || indexedLookups(r) != 0 {
-		t.Error("a look-up is left")
+		t.Error("a look-up remains")
 	}
 }
 
-// The circuit breaker of a server that fails opens, and then one query probes the server. While the breakers of all
-// servers are open, calls get their result at once.
+// The circuit breaker of a failing server opens, and after the cooldown a single query probes the server. While the
+// breakers of all servers are open, calls get their fallback result at once.
 func TestBreaker(t *testing.T) {
 	settings := testSettings()
 	settings.Servers = 1
@@ -137,20 +137,20 @@
 	}
 }
 
-// Answers that do not match their query change nothing for the call, are counted and open the breaker. The right answer
-// is still accepted.
+// Mismatched answers are counted and open the breaker, but do not end the look-up: the correct answer is still accepted
+// afterwards.
 func TestMismatchedAnswers(t *testing.T) {
 	r := newTestResolver(testSettings())
 	query := queriesIn(r.LookUp(now, "a", "561", now+time.Second))[0]
 	for range 3 {
 		if actions := r.HandleAnswer(now, 0, query.ID, "562", portedAnswer(t)); len(actions) != 0 {
-			t.Errorf("the answer to another question: %+v", actions)
+			t.Errorf("actions for the answer to another question: %+v", actions)
 		}
 		if actions := r.HandleAnswer(now, 1, query.ID, "561", portedAnswer(t)); len(actions) != 0 {
-			t.Errorf("from another server: %+v", actions)
+			t.Errorf("actions for an answer from another server: %+v", actions)
 		}
 		if actions := r.HandleAnswer(now, 0, query.ID+1, "561", portedAnswer(t)); len(actions) != 0 {
-			t.Errorf("with another ID: %+v", actions)
+			t.Errorf("actions for an answer with another ID: %+v", actions)
 		}
 	}
 	if r.MismatchedAnswers != 6 || r.UnmatchedAnswers != 3 || r.BreakerOpenings != 2 {
@@ -167,15 +167,15 @@
 
 func TestBudget(t *testing.T) {
 	b := Budget{AttemptDuration: 500 * time.Millisecond, RetryGuard: 300 * time.Millisecond, AnswerDuration: 50 * time.Millisecond, MaxShare: 0.25}
-	for left, want := range map[time.Duration]time.Duration{
+	for remaining, want := range map[time.Duration]time.Duration{
 		3 * time.Second:         750 * time.Millisecond,
 		1500 * time.Millisecond: 150 * time.Millisecond,
 		1350 * time.Millisecond: 0,
 		0:                       0,
 		-time.Second:            0,
 	} {
-		if got := b.LookUpTime(left); got != want {
-			t.Errorf("of %v: %v, want %v", left, got, want)
+		if got := b.LookUpTime(remaining); got != want {
+			t.Errorf("look-up time of remaining %v: %v, want %v", remaining, got, want)
 		}
 	}
 }
--- a/internal/portability/settings.go
+++ b/internal/portability/settings.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Settings are the bounds and times of a Resolver.
+// Settings are the limits and durations of a Resolver.
 type Settings struct {
-	Servers      int           // number of servers, queried in their order
-	QueryTimeout time.Duration // for the answer of one server to one query
-	MaxTries     int           // queries of one look-up, over all servers
+	Servers      int           // number of servers, queried in ascending order of their index
+	QueryTimeout time.Duration // time for a server to answer a query
+	MaxTries     int           // maximum number of queries of a look-up, over all servers
 
-	MaxLookups int // look-ups at a time; further calls get OriginNone at once
-	MaxWaiters int // calls that wait, over all look-ups
+	MaxLookups int // open look-ups; calls that would start another one get their fallback result at once
+	MaxWaiters int // waiting calls, over all look-ups; further calls get their fallback result at once
 
 	MaxCacheEntries int
 	MaxCacheBytes   int           // approximate
-	MinTTL          time.Duration // lower bound of the TTL of an answer
-	MaxTTL          time.Duration // upper bound of the TTL of an answer
-	NegativeTTL     time.Duration // of the answer that a number has not been ported
-	StaleTTL        time.Duration // how long after its TTL an answer is used if no server answers
+	MinTTL          time.Duration // lower limit of the TTL of an answer
+	MaxTTL          time.Duration // upper limit of the TTL of an answer
+	NegativeTTL     time.Duration // TTL of the answer that a number has not been ported
+	StaleTTL        time.Duration // how long an expired answer is still used if no server answers
 
-	BreakerThreshold int           // consecutive failures that open a server's circuit breaker
+	BreakerThreshold int           // consecutive failures that open the circuit breaker of a server
 	BreakerCooldown  time.Duration // how long a circuit breaker stays open before one query probes the server
 }
 
-// DefaultSettings returns settings for a few hundred calls a second.
+// DefaultSettings returns settings for a few hundred calls per second.
 func DefaultSettings(servers int) Settings {
 	return Settings{
 		Servers:          servers,
--- a/internal/portability/types.go
+++ b/internal/portability/types.go
@@ -6,7 +6,7 @@
 	"olivedale/internal/numbering"
 )
 
-// Time is a reading of the Unix clock.
+// Time is the time since the Unix epoch.
 type Time = numbering.Time
 
 // Answer is the decoded answer of a server.
@@ -21,29 +21,29 @@
 
 // Values of Origin.
 const (
-	OriginNone       Origin = iota // no server answered in time and the cache has no answer
+	OriginNone       Origin = iota // no server answered in time and no answer is cached
 	OriginServer                   // an answer to a query
 	OriginCache                    // a cached answer within its TTL
-	OriginStaleCache               // a cached answer after its TTL, since no server answered
+	OriginStaleCache               // a cached answer after its TTL, because no server answered
 )
 
-// Result is what a call gets from its look-up.
+// Result is the result of a look-up for a call.
 type Result struct {
 	Ported numbering.PortingResult
 	Origin Origin
 }
 
-// Action is what the caller of a Resolver has to do: a SendQuery or a DeliverResult.
+// Action is an instruction to the caller of a Resolver: a SendQuery or a DeliverResult.
 type Action interface{ isAction() }
 
-// SendQuery means: send a query to a server.
+// SendQuery is the instruction to send a query to a server.
 type SendQuery struct {
 	Server int    // index of the server
 	ID     uint16 // of the DNS message
 	Number string
 }
 
-// DeliverResult means: give a call its result. Each call gets one, unless it is canceled.
+// DeliverResult is the instruction to deliver its result to a call. Each call gets one result, unless it is canceled.
 type DeliverResult struct {
 	Call string
 	Result
@@ -52,21 +52,21 @@
 func (SendQuery) isAction()     {}
 func (DeliverResult) isAction() {}
 
-// Counters count the events of a Resolver since its start.
+// Counters are the event counters of a Resolver.
 type Counters struct {
-	Calls          int // calls
+	Calls          int // calls of LookUp
 	CacheHits      int // calls with a cached answer within its TTL
-	Coalesced      int // calls that joined a look-up of the same number
+	Coalesced      int // calls that joined an open look-up of the same number
 	StaleCacheHits int // calls with a cached answer after its TTL
-	Unanswered     int // calls without an answer
-	OverLimit      int // calls over MaxLookups or MaxWaiters
+	Unanswered     int // calls that got no answer
+	OverLimit      int // calls rejected because of MaxLookups or MaxWaiters
 
-	QueriesSent     int // queries
+	QueriesSent     int // queries sent
 	QueriesAnswered int
 	QueriesTimedOut int
-	QueriesFailed   int // queries that a server could not answer
+	QueriesFailed   int // queries that failed, see HandleFailure
 
-	UnmatchedAnswers  int // answers without a query
-	MismatchedAnswers int // answers from another server or to another question than the query's
+	UnmatchedAnswers  int // answers and failures that belong to no open query
+	MismatchedAnswers int // answers whose server or number differs from the query
 	BreakerOpenings   int // openings of circuit breakers
 }
