--- a/internal/enum/client.go
+++ b/internal/enum/client.go
@@ -14,11 +14,11 @@
 	"olivedale/internal/portability"
 )
 
-// taskQueueSize bounds the tasks that wait for the client's goroutine.
+// taskQueueSize limits the number of tasks that wait for the client's goroutine.
 const taskQueueSize = 1024
 
-// Client looks numbers up over UDP. One goroutine owns the resolver; another one for each socket receives. No method
-// but Close waits for any of them.
+// Client looks up numbers over UDP. One goroutine owns the resolver and executes tasks; one goroutine for each socket
+// receives answers. Close is the only method that waits for them.
 type Client struct {
 	suffix string
 	conns  []net.Conn // by server
@@ -26,14 +26,14 @@
 	cancel context.CancelFunc
 	done   chan struct{} // closed when all goroutines have ended
 
-	// Only used by the goroutine that executes the tasks.
+	// The following fields are only used by the goroutine that executes the tasks.
 	resolver  *portability.Resolver
 	callbacks map[string]func(portability.Result) // by call
 
-	counters atomic.Pointer[portability.Counters] // of the resolver after the last task
+	counters atomic.Pointer[portability.Counters] // counters of the resolver after the last task
 }
 
-// Dial opens a socket to each server, in the order in which they are queried. The sockets are connected, so datagrams
+// Dial returns a client for a list of servers, which are queried in this order. The sockets are connected, so datagrams
 // from other addresses are not received.
 func Dial(servers []string, suffix string, settings portability.Settings) (*Client, error) {
 	if len(servers) == 0 {
@@ -104,31 +104,31 @@
 	}()
 }
 
-// Close ends the client and waits for its goroutines. Calls that wait get no result.
+// Close stops the client and waits for its goroutines to end. Waiting calls get no result.
 func (c *Client) Close() {
 	c.cancel()
 	<-c.done
 }
 
-// unixNow returns the time of the Unix clock.
+// unixNow returns the time since the Unix epoch.
 func unixNow() portability.Time { return portability.Time(time.Now().UnixNano()) }
 
-// LookUp looks a number of E.164 digits up for a call, which waits for timeout at most. It does not block. deliver is
-// called once with the result, on the client's goroutine, and must not block; it is not called after Cancel. LookUp
-// returns false, and deliver is never called, if too many tasks are queued; then the caller goes on as with a result
-// without an answer.
+// LookUp requests the look-up of a number, given in E.164 digits, for a call that waits for timeout at most. It does
+// not block. deliver is called once with the result, on the client's goroutine, and must not block. It is not called after
+// Cancel has been executed. If too many tasks are queued, LookUp returns false and deliver is never called; the caller
+// then continues as with a result without an answer.
 func (c *Client) LookUp(call, number string, timeout time.Duration, deliver func(portability.Result)) bool {
 	deadline := unixNow() + timeout
 	return c.enqueue(func() {
 		if c.callbacks[call] != nil {
-			return // the call waits already
+			return // the call already waits for a result
 		}
 		c.callbacks[call] = deliver
 		c.execute(c.resolver.LookUp(unixNow(), call, number, deadline))
 	})
 }
 
-// Cancel ends the waiting of a call. It does not block.
+// Cancel cancels the request of a call, which gets no result. It does not block.
 func (c *Client) Cancel(call string) {
 	c.enqueue(func() {
 		c.resolver.Cancel(call)
@@ -144,7 +144,7 @@
 	return portability.Counters{}
 }
 
-// enqueue has the client's goroutine execute a task; it returns false if the queue is full.
+// enqueue queues a task for the client's goroutine. It returns false if the queue is full.
 func (c *Client) enqueue(task func()) bool {
 	select {
 	case c.tasks <- task:
--- a/internal/enum/client_test.go
+++ b/internal/enum/client_test.go
@@ -14,10 +14,10 @@
 	"olivedale/internal/portability"
 )
 
-// answerDelay is the delay of a slow server: longer than a query or a call waits.
+// answerDelay is the delay of a slow server. It exceeds the time-outs of queries and calls.
 const answerDelay = 5 * time.Second
 
-// fakeServer is a DNS server whose behavior is named by mode.
+// fakeServer is a DNS server whose behavior depends on mode.
 type fakeServer struct {
 	conn net.PacketConn
 	mode string
@@ -85,8 +85,8 @@
 	}
 }
 
-// Whatever the first server does, each call gets one result in time: from the second server if that one works, else
-// no answer, by its deadline at the latest.
+// With any fault of the first server, each call gets one result in time: the answer of the second server if that one
+// works, or else a result without an answer by its deadline.
 func TestClientWithFaultyServers(t *testing.T) {
 	for _, mode := range []string{
 		"works", "silent", "slow", "failure", "truncated", "other question", "other ID", "malformed", "60 KB",
@@ -104,7 +104,7 @@
 	}
 }
 
-// results collects the results of calls.
+// results collects the results of calls, which several goroutines may deliver.
 type results struct {
 	mu        sync.Mutex
 	byCall    map[string]portability.Result
@@ -146,7 +146,7 @@
 	const (
 		calls     = 40
 		timeout   = 2 * time.Second
-		tolerance = 2 * time.Second // the resolver's own test checks exact times
+		tolerance = 2 * time.Second // the tests of package portability check exact times
 	)
 	first, second := startServer(t, firstMode), startServer(t, secondMode)
 	settings := portability.DefaultSettings(2)
@@ -176,7 +176,7 @@
 		}
 	}
 	if got.late+got.duplicate > 0 {
-		t.Errorf("%d late, %d duplicate results", got.late, got.duplicate)
+		t.Errorf("%d late and %d duplicate results", got.late, got.duplicate)
 	}
 	n := c.Counters()
 	if n.Calls != calls || firstMode == "works" && n.Coalesced+n.CacheHits < calls/2 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// A canceled call gets no result, and a client that is closed leaves no goroutine.
+// A canceled call gets no result. Close returns when all goroutines have ended, also if it is called a second time.
 func TestCancelAndClose(t *testing.T) {
 	server := startServer(t, "silent")
 	c, err := Dial([]string{server.address()}, suffix, portability.DefaultSettings(1))
--- a/internal/enum/errors.go
+++ b/internal/enum/errors.go
@@ -7,16 +7,17 @@
 	"github.com/miekg/dns"
 )
 
-// Errors of DecodeAnswer. ErrNotAnAnswer means that the message answers no query of ours; with all others, the server
-// could not say whether the number has been ported.
+// Errors of DecodeAnswer. ErrNotAnAnswer means that the message is not an answer to a query of this client. All others
+// mean that the server did not tell whether the number has been ported.
 var (
-	ErrTruncated       = errors.New("cut short (TC)")
-	ErrServer          = errors.New("the server reports an error")
-	ErrUnusableRecords = errors.New("records that are of no use")
-	ErrNotAnAnswer     = errors.New("no answer to a question of ours")
+	ErrTruncated       = errors.New("truncated answer (TC)")
+	ErrServer          = errors.New("the server reported an error")
+	ErrUnusableRecords = errors.New("no usable NAPTR record")
+	ErrNotAnAnswer     = errors.New("not an answer to an ENUM query")
 )
 
-// ResponseCodeError is the error of an answer with a response code other than NOERROR and NXDOMAIN. It is an ErrServer.
+// ResponseCodeError is the error for an answer with a response code other than NOERROR and NXDOMAIN. It wraps
+// ErrServer.
 type ResponseCodeError struct{ Code int }
 
 // Error implements error.
--- a/internal/enum/loop.go
+++ b/internal/enum/loop.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxTimerDelay bounds the time between two checks for time-outs.
+	// maxTimerDelay limits the time between two checks for time-outs.
 	maxTimerDelay = time.Hour
 	// receiveRetryDelay is the pause after a failed read from a socket.
 	receiveRetryDelay = 10 * time.Millisecond
 )
 
-// run executes the tasks and the time-outs of the resolver until ctx is done.
+// run executes tasks and handles the time-outs of the resolver until ctx is done.
 func (c *Client) run(ctx context.Context) {
 	timer := time.NewTimer(maxTimerDelay)
 	defer timer.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// execute executes the actions of the resolver.
+// execute carries out the actions that the resolver returned.
 func (c *Client) execute(actions []portability.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// send sends a query. A write fails if an ICMP error has come back for an earlier datagram; then the next server is
-// queried.
+// send sends a query. A write fails if an ICMP error was received for an earlier datagram; the next server is queried
+// then.
 func (c *Client) send(query portability.SendQuery) {
 	b, err := EncodeQuery(query.ID, query.Number, c.suffix)
 	if err == nil {
@@ -61,6 +61,7 @@
 	}
 }
 
+// deliver passes a result to the callback of its call.
 func (c *Client) deliver(delivery portability.DeliverResult) {
 	callback := c.callbacks[delivery.Call]
 	if callback == nil {
@@ -70,10 +71,10 @@
 	callback(delivery.Result)
 }
 
-// receive reads the answers of one server until its socket is closed. An answer for which the queue has no place is
-// dropped: its query times out.
+// receive reads the answers of one server until its socket is closed. If the queue is full, an answer is dropped and
+// its query times out.
 func (c *Client) receive(ctx context.Context, server int, conn net.Conn) {
-	buffer := make([]byte, MaxMessageBytes+1) // one byte more, to detect messages that are too large
+	buffer := make([]byte, MaxMessageBytes+1) // one more byte, to detect messages that are too large
 	for ctx.Err() == nil {
 		n, err := conn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// handleMessage has the client's goroutine handle a message of a server.
+// handleMessage decodes a message of a server and queues a task that passes it to the resolver.
 func (c *Client) handleMessage(server int, b []byte) {
 	isTooLarge := len(b) > MaxMessageBytes
 	message, err := DecodeAnswer(b, c.suffix)
@@ -100,12 +101,12 @@
 			c.execute(c.resolver.HandleFailure(unixNow(), server, message.ID))
 			return
 		}
-		// A message that is no answer has no number and does not match any query.
+		// A message with ErrNotAnAnswer has no number and so matches no query.
 		c.execute(c.resolver.HandleAnswer(unixNow(), server, message.ID, message.Number, message.Answer))
 	})
 }
 
-// pause waits for a duration or until ctx is done.
+// pause waits for duration or until ctx is done.
 func pause(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/enum/message.go
+++ b/internal/enum/message.go
@@ -11,7 +11,7 @@
 	"olivedale/internal/portability"
 )
 
-// MaxMessageBytes bounds the size of an answer. Queries announce it by EDNS, so that answers are not fragmented.
+// MaxMessageBytes is the maximum size of an answer. Queries announce it by EDNS, so that answers are not fragmented.
 const MaxMessageBytes = 1232
 
 // headerBytes is the size of the header of a DNS message.
@@ -20,14 +20,14 @@
 // Message is a decoded answer.
 type Message struct {
 	ID     uint16
-	Number string // of the question, in E.164 digits
+	Number string // from the question, in E.164 digits
 	Answer portability.Answer
 }
 
-// EncodeQuery returns the query for a number of E.164 digits.
+// EncodeQuery encodes the query for a number, given in E.164 digits.
 func EncodeQuery(id uint16, number, suffix string) ([]byte, error) {
 	if _, ok := numbering.ParseDigits(number); !ok {
-		return nil, fmt.Errorf("enum: %q is no number", number)
+		return nil, fmt.Errorf("enum: %q is not a number", number)
 	}
 	m := &dns.Msg{}
 	m.SetQuestion(domainOf(number, suffix), dns.TypeNAPTR)
@@ -40,8 +40,8 @@
 	return b, nil
 }
 
-// DecodeAnswer decodes the answer to a query. With an error, the ID and the number are set as far as they could be
-// read.
+// DecodeAnswer decodes the answer to a query. In case of an error, the ID and the number are set if they could be
+// decoded.
 func DecodeAnswer(b []byte, suffix string) (Message, error) {
 	if len(b) < headerBytes || len(b) > MaxMessageBytes {
 		return Message{}, ErrNotAnAnswer
@@ -64,7 +64,7 @@
 	}
 	var err error
 	switch m.Rcode {
-	case dns.RcodeNameError: // no record: the number has not been ported
+	case dns.RcodeNameError: // there is no such name: the number has not been ported
 	case dns.RcodeSuccess:
 		decoded.Answer, err = answerOf(m.Answer, question.Name)
 	default:
@@ -73,7 +73,7 @@
 	return decoded, err
 }
 
-// domainOf returns the domain name of a number: its digits in reverse order, each a label, before the suffix.
+// domainOf returns the domain name of a number: its digits in reverse order, one label each, followed by the suffix.
 func domainOf(number, suffix string) string {
 	b := make([]byte, 0, 2*len(number)+len(suffix)+1)
 	for i := len(number) - 1; i >= 0; i-- {
@@ -82,7 +82,7 @@
 	return dns.Fqdn(string(b) + suffix)
 }
 
-// numberOf returns the number of a domain name, "" if it is not the domain name of a number below the suffix.
+// numberOf returns the number of a domain name, or "" if the name is not that of a number below the suffix.
 func numberOf(name, suffix string) string {
 	labels, isBelowSuffix := strings.CutSuffix(strings.ToLower(name), "."+strings.ToLower(dns.Fqdn(suffix)))
 	if !isBelowSuffix {
--- a/internal/enum/message_test.go
+++ b/internal/enum/message_test.go
@@ -11,7 +11,7 @@
 
 const suffix = "e164.test"
 
-// packAnswer returns the answer to a query for 56221 with ID 7, changed by change unless that is nil.
+// packAnswer returns the answer to a query for 56221 with ID 7. change modifies it before encoding; it may be nil.
 func packAnswer(t testing.TB, change func(m *dns.Msg), records ...string) []byte {
 	t.Helper()
 	b, err := EncodeQuery(7, "56221", suffix)
@@ -98,7 +98,7 @@
 	}
 }
 
-// The answer to another question is decoded: the resolver finds that it does not match the query.
+// The answer to another question is decoded without an error: it is the resolver that rejects mismatched answers.
 func TestDecodeAnswerToOtherQuestion(t *testing.T) {
 	otherQuestion := func(m *dns.Msg) { m.Question[0].Name = "2.2.2.6.5.e164.test." }
 	if m, err := DecodeAnswer(packAnswer(t, otherQuestion), suffix); err != nil || m.Number != "56222" {
@@ -124,7 +124,7 @@
 func TestEncodeQueryRejectsInvalidNumbers(t *testing.T) {
 	for _, number := range []string{"", "+56", strings.Repeat("1", 100)} {
 		if _, err := EncodeQuery(1, number, suffix); err == nil {
-			t.Errorf("a query for %q", number)
+			t.Errorf("a query for %q was encoded", number)
 		}
 	}
 }
--- a/internal/enum/naptr.go
+++ b/internal/enum/naptr.go
@@ -10,8 +10,8 @@
 	"olivedale/internal/portability"
 )
 
-// answerOf returns the answer that the records for a domain name contain. No records at all mean that the number has
-// not been ported.
+// answerOf returns the answer that the records for a domain name contain. If there are no records at all, the number
+// has not been ported.
 func answerOf(records []dns.RR, name string) (portability.Answer, error) {
 	if len(records) == 0 {
 		return portability.Answer{}, nil
@@ -32,8 +32,8 @@
 	return answer, nil
 }
 
-// preferredRecord returns the terminal NAPTR record for the service with the lowest order and preference, nil if there
-// is none. Aliases and records that lead to another query are not followed: they might be a loop.
+// preferredRecord returns the terminal NAPTR record for the Enumservice "pstn" with the lowest order and preference, or
+// nil. Aliases and non-terminal records are not followed, since they might form a loop.
 func preferredRecord(records []dns.RR, name string) *dns.NAPTR {
 	var preferred *dns.NAPTR
 	for _, record := range records {
@@ -71,8 +71,8 @@
 	return false
 }
 
-// replacementOf returns the URI of a substitution expression that replaces the whole number. Other expressions are an
-// error and are not evaluated, since an expression can be made to take very long.
+// replacementOf returns the URI of a substitution expression that replaces the whole number. Other expressions are
+// rejected and never evaluated, since an expression can be crafted to take very long.
 func replacementOf(expression string) (string, error) {
 	if len(expression) < 3 {
 		return "", ErrUnusableRecords
@@ -90,7 +90,8 @@
 	return replacement, nil
 }
 
-// parseTelURI returns the answer of a tel URI: the number has been ported if there is a routing number, parameter "rn".
+// parseTelURI returns the answer that a tel URI contains. The number has been ported if there is a routing number,
+// which is the parameter "rn".
 func parseTelURI(uri string) (answer portability.Answer, err error) {
 	params := strings.Split(uri, ";")
 	if !strings.HasPrefix(strings.ToLower(params[0]), "tel:") {
