--- a/internal/numbering/analyse_test.go
+++ b/internal/numbering/analyse_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAnalyse(t *testing.T) {
-	table := compileText(t, rules)
+	table := compileText(t, testRules)
 	night := Time(time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC).UnixNano())
 	moved, _ := ParseDigits("56221")
 	for _, c := range []struct {
@@ -45,9 +45,9 @@
 	}
 }
 
-// Over many calls, pools are chosen in proportion to their weights, and one call gets the same pools each time.
+// Over many calls, pools are chosen in proportion to their weights. The same call always gets the same pools.
 func TestChoiceByWeight(t *testing.T) {
-	table := compileText(t, rules)
+	table := compileText(t, testRules)
 	callsByPool := make(map[int]int)
 	for i := range 4000 {
 		q := Query{Number: "+5623", At: now, Seed: Seed(fmt.Sprint(i))}
@@ -63,7 +63,7 @@
 }
 
 func TestAnalyseDoesNotAllocate(t *testing.T) {
-	table := compileText(t, rules)
+	table := compileText(t, testRules)
 	for _, number := range []string{"7", "0 2 2123 4567", "+5641249", "+56900123", "133", "abc"} {
 		q := Query{Number: number, At: now}
 		if n := testing.AllocsPerRun(100, func() { table.Analyse(&q) }); n > 0 {
@@ -73,7 +73,7 @@
 }
 
 func FuzzNumber(f *testing.F) {
-	table := compileText(f, rules)
+	table := compileText(f, testRules)
 	for _, s := range []string{"+56 2 2123", "0056", "133", "7", "", "+", strings.Repeat("9", 30)} {
 		f.Add(s)
 	}
--- a/internal/numbering/bench_test.go
+++ b/internal/numbering/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// randomRules returns rules with a number of random prefixes.
+// randomRules returns rules with count random prefixes.
 func randomRules(count int) *Rules {
 	rng := rand.New(rand.NewPCG(3, 4))
 	r := &Rules{
@@ -31,7 +31,7 @@
 	return r
 }
 
-// heapInUse returns the size of the heap after a garbage collection.
+// heapInUse returns the size in bytes of the heap objects after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -50,7 +50,8 @@
 	return numbers
 }
 
-// BenchmarkAnalyse measures an analysis, and the search for the longest prefix by the trie and by a map for each length.
+// BenchmarkAnalyse measures an analysis, and compares the search for the longest prefix in the trie with a search in
+// one map per prefix length.
 func BenchmarkAnalyse(b *testing.B) {
 	for _, count := range []int{1000, 100_000, 1_000_000} {
 		r := randomRules(count)
@@ -85,6 +86,7 @@
 	}
 }
 
+// benchmarkMaps measures the search for the longest prefix in one map per prefix length.
 func benchmarkMaps(b *testing.B, r *Rules, numbers []string) {
 	var entriesByLength [16]map[string]int
 	for i, p := range r.Prefix {
@@ -107,10 +109,10 @@
 	}
 }
 
-// BenchmarkSwap measures an activation, from Begin to Finish, between two tables of a million prefixes, and reports the
-// longest one.
+// BenchmarkSwap measures the activation of a version, from Begin to Finish, with two tables of a million prefixes
+// each. It also reports the longest duration.
 func BenchmarkSwap(b *testing.B) {
-	var d VersionManager
+	var m VersionManager
 	digests := make([]string, 2)
 	for i := range digests {
 		r := randomRules(1_000_000)
@@ -120,23 +122,23 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := d.Load(now, t); err != nil {
+		if err := m.Load(now, t); err != nil {
 			b.Fatal(err)
 		}
 		digests[i] = t.Digest()
 	}
-	if err := d.Activate(now, digests[0], "", 0); err != nil {
+	if err := m.Activate(now, digests[0], "", 0); err != nil {
 		b.Fatal(err)
 	}
 	longest, i := time.Duration(0), 0
 	for b.Loop() {
 		startedAt := time.Now()
-		seen := d.Active().Digest()
+		active := m.Active().Digest()
 		i++
-		if _, _, err := d.Begin(now, Command{Op: OpActivate, Digest: digests[i%2], ExpectedActive: seen}); err != nil {
+		if _, _, err := m.Begin(now, Command{Op: OpActivate, Digest: digests[i%2], ExpectedActive: active}); err != nil {
 			b.Fatal(err)
 		}
-		if err := d.Finish(now, nil); err != nil {
+		if err := m.Finish(now, nil); err != nil {
 			b.Fatal(err)
 		}
 		longest = max(longest, time.Since(startedAt))
--- a/internal/numbering/compile_test.go
+++ b/internal/numbering/compile_test.go
@@ -81,7 +81,7 @@
 			if err != nil {
 				t.Fatalf("%q: %v", c.text, err)
 			}
-			if _, err = Compile(r, env); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err = Compile(r, testDeployment); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%q:\nwant %s\ngot  %v", c.text, c.want, err)
 			}
 		})
@@ -105,13 +105,13 @@
 }
 
 func FuzzRules(f *testing.F) {
-	f.Add(rules)
+	f.Add(testRules)
 	f.Fuzz(func(_ *testing.T, text string) {
 		r, err := Parse([]byte(text))
 		if err != nil || len(r.Range) >= 50 {
 			return
 		}
-		if table, err := Compile(r, env); err == nil {
+		if table, err := Compile(r, testDeployment); err == nil {
 			table.Analyse(&Query{Number: "+562", At: now})
 		}
 	})
--- a/internal/numbering/digest_test.go
+++ b/internal/numbering/digest_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-// shuffled returns rules with their entries in another order.
+// shuffled returns a copy of rules with the entries in a random order.
 func shuffled(r *Rules, rng *rand.Rand) *Rules {
 	s := *r
 	s.Prefix = slices.Clone(r.Prefix)
@@ -30,13 +30,13 @@
 	return &s
 }
 
-// Rules in another order have the same digest and decisions, and the last step that Explain returns is the decision.
+// The order of rules affects neither the digest nor decisions, and the last step of an explanation is the decision.
 func TestDigestAndExplain(t *testing.T) {
-	r := parseRules(t, rules)
-	base := compileText(t, rules)
+	r := parseRules(t, testRules)
+	base := compileText(t, testRules)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
-		other, err := Compile(shuffled(r, rng), env)
+		other, err := Compile(shuffled(r, rng), testDeployment)
 		if err != nil || other.Digest() != base.Digest() {
 			t.Fatalf("%v: %s, want %s", err, other.Digest(), base.Digest())
 		}
@@ -58,29 +58,29 @@
 	}
 }
 
-// checkLastStep checks that the last step of an explanation names the pools or the cause of the decision.
+// checkLastStep checks that the last step of an explanation contains the pools or the cause of the decision.
 func checkLastStep(t *testing.T, d *Decision, last string) {
 	t.Helper()
 	switch d.Verdict {
 	case Routed:
 		if last != "pools "+strings.Trim(fmt.Sprint(d.Pools()), "[]") {
-			t.Fatalf("%q does not name pools %v", last, d.Pools())
+			t.Fatalf("%q does not contain pools %v", last, d.Pools())
 		}
 	case Rejected:
 		if !strings.Contains(last, fmt.Sprintf("cause %d", d.Cause)) {
-			t.Fatalf("%q does not name cause %d", last, d.Cause)
+			t.Fatalf("%q does not contain cause %d", last, d.Cause)
 		}
 	case LookUpRequired:
 	}
 }
 
 func TestDigestOfChangedRules(t *testing.T) {
-	changed := parseRules(t, rules)
+	changed := parseRules(t, testRules)
 	changed.Prefix[0].Route = "centre"
 	changed.Default = "santiago"
 	changed.Route = slices.DeleteFunc(changed.Route, func(x Route) bool { return x.Name == "rest" })
-	base := compileText(t, rules)
-	if other, err := Compile(changed, env); err != nil || other.Digest() == base.Digest() {
-		t.Errorf("another route, the same digest: %v", err)
+	base := compileText(t, testRules)
+	if other, err := Compile(changed, testDeployment); err != nil || other.Digest() == base.Digest() {
+		t.Errorf("changed rules have the same digest or do not compile: %v", err)
 	}
 }
--- a/internal/numbering/digits_test.go
+++ b/internal/numbering/digits_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Two Digits with equal digits are equal, whatever they were changed from.
+// After replacePrefix, Digits with the same digits compare equal: no removed digits remain in the unused bytes.
 func TestReplacePrefix(t *testing.T) {
 	for _, c := range []struct {
 		removed      int
@@ -34,7 +34,7 @@
 		d.replacePrefix(c.removed, c.prefix)
 		want, _ := ParseDigits(c.want)
 		if d != want {
-			t.Errorf("%d digits replaced by %q: %q, want %q", c.removed, c.prefix, d, c.want)
+			t.Errorf("first %d digits replaced by %q: %q, want %q", c.removed, c.prefix, d, c.want)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	for _, i := range []int{-1, MaxPools} {
 		if _, ok := d.Pool(i); ok {
-			t.Errorf("there is a pool %d", i)
+			t.Errorf("Pool(%d) returned a pool", i)
 		}
 	}
 }
--- a/internal/numbering/fixture_test.go
+++ b/internal/numbering/fixture_test.go
@@ -10,12 +10,12 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// now is a Tuesday in office hours.
+// now is a Tuesday, within the hours of condition "office".
 var now = Time(time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC).UnixNano())
 
-var env = Deployment{Classes: []Class{{Name: "voice"}, {Name: "alarm", Pools: []int{0, 1, 2}}}, Now: now}
+var testDeployment = Deployment{Classes: []Class{{Name: "voice"}, {Name: "alarm", Pools: []int{0, 1, 2}}}, Now: now}
 
-const rules = `
+const testRules = `
 version = "test"
 default = "rest"
 [[plan]]
@@ -98,14 +98,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := Compile(r, env)
+	table, err := Compile(r, testDeployment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return table
 }
 
-// tableWithPool returns a table that routes all numbers to one pool.
+// tableWithPool returns a table that routes all numbers to a pool.
 func tableWithPool(t testing.TB, pool int) *Table {
 	t.Helper()
 	return compileText(t, fmt.Sprintf(`
@@ -118,6 +118,7 @@
 `, pool, pool))
 }
 
+// describeDecision returns a decision as text.
 func describeDecision(d Decision) string {
 	prefix := ""
 	if d.Emergency {
--- a/internal/numbering/golden_test.go
+++ b/internal/numbering/golden_test.go
@@ -16,7 +16,7 @@
 
 func goldenTable(t *testing.T, name string) *Table {
 	t.Helper()
-	table, _, err := CompileFile(goldenPath(name), env)
+	table, _, err := CompileFile(goldenPath(name), testDeployment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	return append(b, '\n')
 }
 
-// The digests, decisions and explanations of tables are the same as when the files were committed.
+// The digests, decisions and explanations of two tables, and the changes between them, equal the golden files.
 func TestGoldenDecisions(t *testing.T) {
 	night := Time(time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC).UnixNano())
 	moved, ok := ParseDigits("56225550101")
@@ -66,39 +66,39 @@
 		b.WriteByte('\n')
 	}
 	goldentest.CompareFile(t, goldenPath("decisions.txt"), b.Bytes())
-	changes, more := Diff(goldenTable(t, "rules.toml"), goldenTable(t, "next.toml"))
-	if more {
-		t.Error("the list of changes is cut")
+	changes, isTruncated := Diff(goldenTable(t, "rules.toml"), goldenTable(t, "next.toml"))
+	if isTruncated {
+		t.Error("the list of changes is truncated")
 	}
 	goldentest.CompareFile(t, goldenPath("changes.json"), indentedJSON(t, changes))
 }
 
-// The stored state and the states of versions are encoded and decoded as when the files were committed.
+// The encoded activation state and the list of versions equal the golden files, and the stored state can be decoded.
 func TestGoldenStanding(t *testing.T) {
-	var d VersionManager
+	var m VersionManager
 	var digests []string
-	for _, table := range []*Table{goldenTable(t, "rules.toml"), goldenTable(t, "next.toml"), compileText(t, rules)} {
+	for _, table := range []*Table{goldenTable(t, "rules.toml"), goldenTable(t, "next.toml"), compileText(t, testRules)} {
 		digests = append(digests, table.Digest())
-		if err := d.Load(now, table); err != nil {
+		if err := m.Load(now, table); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, step := range []error{
-		d.Activate(now+1, digests[0], "", 0),
-		d.Activate(now+2, digests[1], digests[0], 0),
-		d.Activate(now+3, digests[2], digests[1], now+Time(time.Hour)),
+		m.Activate(now+1, digests[0], "", 0),
+		m.Activate(now+2, digests[1], digests[0], 0),
+		m.Activate(now+3, digests[2], digests[1], now+Time(time.Hour)),
 	} {
 		if step != nil {
 			t.Fatal(step)
 		}
 	}
-	goldentest.CompareFile(t, goldenPath("versions.json"), indentedJSON(t, d.List()))
-	goldentest.CompareFile(t, goldenPath("standing.json"), d.ActivationState().Encode())
+	goldentest.CompareFile(t, goldenPath("versions.json"), indentedJSON(t, m.List()))
+	goldentest.CompareFile(t, goldenPath("standing.json"), m.ActivationState().Encode())
 	text, err := os.ReadFile(goldenPath("standing.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := DecodeActivationState(text); err != nil || s != d.ActivationState() {
-		t.Errorf("read %+v, %v; want %+v", s, err, d.ActivationState())
+	if s, err := DecodeActivationState(text); err != nil || s != m.ActivationState() {
+		t.Errorf("decoded %+v, %v; want %+v", s, err, m.ActivationState())
 	}
 }
--- a/internal/numbering/numberingtest/random.go
+++ b/internal/numbering/numberingtest/random.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Sizes of the rules that Any draws.
+// Sizes of the rules that RandomRules returns.
 const (
 	routeCount   = 6
 	prefixCount  = 80
@@ -15,9 +15,9 @@
 	maxWeight    = 4
 )
 
-// RandomRules draws the nth rules over numbers of seven digits to pools 0 to pools-1, of which there are six at
-// least. Prefixes lie within one another, one range lies among them, some numbers are barred, some for one class
-// only. Rules with an odd n leave numbers without a match unallocated.
+// RandomRules returns random rules for numbers of seven digits. Their targets are pools 0 to pools-1; pools must be at
+// least six. The rules contain nested prefixes and a range; some numbers are barred, some of them for one class only.
+// Rules with an even n have a default route; with an odd n, numbers that no prefix matches are unallocated.
 func RandomRules(rng *rand.Rand, n, pools int, class string) *Rules {
 	r := &Rules{
 		Version: fmt.Sprint(n),
@@ -50,8 +50,8 @@
 
 func routeName(index int) string { return fmt.Sprint("r", index) }
 
-// randomRoute draws a route in which no pool occurs twice. In every other route, the first step is open in office
-// hours.
+// randomRoute returns a random route in which no pool occurs twice. In routes with an even index, the first step is
+// only open in office hours.
 func randomRoute(rng *rand.Rand, index, pools int) Route {
 	route := Route{Name: routeName(index)}
 	order := rng.Perm(pools)
@@ -68,8 +68,8 @@
 	return route
 }
 
-// isPrefixFree reports whether a prefix can be added: it is new, not barred, and has no numbers in common with a range,
-// since such rules do not compile.
+// isPrefixFree reports whether a prefix can be added: it must be new, not be barred, and not overlap the range, since
+// such rules do not compile.
 func (r *Rules) isPrefixFree(prefix string) bool {
 	padding := numberLength - len(prefix)
 	low, high := prefix+strings.Repeat("0", padding), prefix+strings.Repeat("9", padding)
--- a/internal/numbering/numberingtest/reference.go
+++ b/internal/numbering/numberingtest/reference.go
@@ -1,6 +1,6 @@
-// Package numberingtest is a reference implementation of number analysis for tests. It reads rules one by one, without
-// an index or a compiled form, and shares no code with the package numbering. The decisions of that package, and the
-// records of a program that uses it, are checked against it.
+// Package numberingtest is a reference implementation of number analysis for tests. It searches the rules linearly,
+// without an index or a compiled form, and shares no code with package numbering. Tests compare the decisions of that
+// package, and the records of programs that use it, with its results.
 package numberingtest
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Rules are the part of a file of rules that the reference supports. The only condition is Office.
+// Rules is the part of a rules file that the reference implementation supports. The only condition is Office.
 type Rules struct {
 	Version string      `toml:"version"`
 	Default string      `toml:"default,omitempty"`
@@ -24,34 +24,34 @@
 	When    []Condition `toml:"when"`
 }
 
-// Bar rejects calls of the listed classes, or of all, to numbers with a prefix.
+// Bar rejects calls of the listed classes, or of all classes if there are none, to numbers with a prefix.
 type Bar struct {
 	Prefix  string   `toml:"prefix"`
-	Cause   int      `toml:"cause,omitempty"` // Q.850; 0: call rejected
+	Cause   int      `toml:"cause,omitempty"` // Q.850; 0: 21, call rejected
 	Classes []string `toml:"classes,omitempty"`
 }
 
-// Prefix is a prefix of numbers with their route.
+// Prefix assigns a route to the numbers with a prefix.
 type Prefix struct {
 	Prefix string `toml:"prefix"`
 	Route  string `toml:"route"`
 	Ported bool   `toml:"ported,omitempty"`
 }
 
-// Range is a block of numbers, First to Last, with their route.
+// Range assigns a route to a block of numbers, from First to Last.
 type Range struct {
 	First string `toml:"first"`
 	Last  string `toml:"last"`
 	Route string `toml:"route"`
 }
 
-// Route is a list of targets.
+// Route is a list of targets, tried in the order of their steps.
 type Route struct {
 	Name   string   `toml:"name"`
 	Target []Target `toml:"target"`
 }
 
-// Target is a pool in a step, open always or in office hours.
+// Target is a pool in a step. It is open always, or only in office hours if When is Office.
 type Target struct {
 	Pool   int    `toml:"pool"`
 	Step   int    `toml:"step"`
@@ -65,16 +65,16 @@
 	return t.When == "" || hour >= 8 && hour < 18
 }
 
-// Condition is a condition of time.
+// Condition is a set of times.
 type Condition struct {
 	Name  string   `toml:"name"`
 	Hours []string `toml:"hours"`
 }
 
-// Office is the name of the only condition: 08:00 to 18:00 UTC.
+// Office is the name of the only condition, which holds from 08:00 to 18:00 UTC.
 const Office = "office"
 
-// stepCount is the number of steps of a route that are read.
+// stepCount is the number of steps of a route. Targets of later steps are ignored.
 const stepCount = 3
 
 // Q.850 causes of rejections.
@@ -84,21 +84,21 @@
 	causeRejected    = 21
 )
 
-// TOML returns the text of the file of rules.
+// TOML encodes the rules as a rules file.
 func (r *Rules) TOML() ([]byte, error) {
 	var b bytes.Buffer
 	err := toml.NewEncoder(&b).Encode(r)
 	return b.Bytes(), err
 }
 
-// Expectation is the expected decision on a number: a rejection with a Q.850 cause, or else the pools of each step, in
+// Expectation is the expected decision for a number: a rejection with a Q.850 cause, or the pools of each step, in
 // order of the steps. The pools of one step may be tried in any order.
 type Expectation struct {
 	Cause int // 0: the call is routed
 	Steps [][]int
 }
 
-// String describes the expectation.
+// String returns the expectation as text.
 func (e Expectation) String() string {
 	if e.Cause != 0 {
 		return fmt.Sprint("refused ", e.Cause)
@@ -106,8 +106,8 @@
 	return fmt.Sprint("routed ", e.Steps)
 }
 
-// AllowsOrder reports whether pools, which were tried one after the other, are in an order that the expectation
-// allows. The last pools of the expectation need not have been tried.
+// AllowsOrder reports whether the expectation allows that pools were tried in the given order. The last pools of the
+// expectation need not have been tried.
 func (e Expectation) AllowsOrder(pools []int) bool {
 	for _, step := range e.Steps {
 		n := min(len(step), len(pools))
@@ -125,7 +125,7 @@
 	return !slices.ContainsFunc(pools, func(pool int) bool { return !holds(pool) })
 }
 
-// PoolCount returns the number of pools.
+// PoolCount returns the total number of pools of all steps.
 func (e Expectation) PoolCount() (n int) {
 	for _, step := range e.Steps {
 		n += len(step)
@@ -133,13 +133,13 @@
 	return n
 }
 
-// Decide returns the expected decision on a number in E.164 form, without the plus, that has not moved.
+// Decide returns the expected decision for a number that has not been ported, in E.164 form without the plus sign.
 func (r *Rules) Decide(number, class string, at time.Time) Expectation {
 	return r.DecidePorted(number, "", class, at)
 }
 
-// DecidePorted is Decide with the routing number that a look-up returned; "": the number has not moved. It only counts
-// if the rules mark the number as ported.
+// DecidePorted is like Decide with the routing number that a portability look-up returned; "": the number has not been
+// ported. The routing number is ignored unless the longest match is marked as ported.
 func (r *Rules) DecidePorted(number, routingNumber, class string, at time.Time) Expectation {
 	if cause := r.barredCause(number, class); cause != 0 {
 		return Expectation{Cause: cause}
@@ -159,7 +159,7 @@
 	return Expectation{Steps: r.openSteps(match.Route, at)}
 }
 
-// barredCause returns the cause of the longest bar that matches a number, 0 if calls of the class are not barred.
+// barredCause returns the cause of the longest bar that matches a number, or 0 if that bar does not apply to the class.
 func (r *Rules) barredCause(number, class string) int {
 	cause, length := 0, 0
 	for _, b := range r.Barred {
@@ -178,14 +178,14 @@
 	return cause
 }
 
-// longestMatch returns the longest prefix, or the range, that a number belongs to.
+// longestMatch returns the range that contains a number or, if there is none, the longest prefix that matches it.
 func (r *Rules) longestMatch(number string) (match Prefix, found bool) {
 	for _, p := range r.Prefix {
 		if strings.HasPrefix(number, p.Prefix) && (!found || len(p.Prefix) > len(match.Prefix)) {
 			match, found = p, true
 		}
 	}
-	for _, x := range r.Range { // longer than any prefix in the rules of Any
+	for _, x := range r.Range { // ranges have longer numbers than any prefix of RandomRules
 		if len(number) < len(x.First) {
 			continue
 		}
@@ -196,7 +196,7 @@
 	return match, found
 }
 
-// openSteps returns the open pools of a route by step, without empty steps.
+// openSteps returns the open pools of a route by step. Steps without open pools are left out.
 func (r *Rules) openSteps(name string, at time.Time) [][]int {
 	var steps [][]int
 	for _, route := range r.Route {
@@ -205,9 +205,9 @@
 		}
 		for step := range stepCount {
 			var open []int
-			for _, g := range route.Target {
-				if g.Step == step && g.isOpen(at) {
-					open = append(open, g.Pool)
+			for _, tgt := range route.Target {
+				if tgt.Step == step && tgt.isOpen(at) {
+					open = append(open, tgt.Pool)
 				}
 			}
 			if len(open) > 0 {
--- a/internal/numbering/registry_property_test.go
+++ b/internal/numbering/registry_property_test.go
@@ -8,23 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-// registryTest drives a Registry with random operations and checks its invariants.
+// registryTest performs random operations on a Registry and checks its invariants.
 type registryTest struct {
 	*rapid.T
 	registry Registry
 	tables   []*Table
-	calls    []pinnedCall
+	calls    []callWithTable
 	now      Time
 }
 
-// pinnedCall is a call with the table that it must keep.
-type pinnedCall struct {
-	pin   *TableRef
+// callWithTable is a call that has acquired a reference, with the table that the reference must keep.
+type callWithTable struct {
+	ref   *TableRef
 	table *Table
 }
 
-// Whatever is loaded, activated and pinned in whatever order: the table of a call never changes, a version that a call
-// uses is never removed, the numbers of calls are right, and there are never too many versions.
+// After any sequence of loads, activations and references: the table of a call never changes, a version that a call
+// uses is never removed, the numbers of calls are correct, and there are never more than maxVersions versions.
 func TestRegistryInvariants(t *testing.T) {
 	var tables []*Table
 	for i := range 12 {
@@ -57,7 +57,7 @@
 		}
 	case 4:
 		if p := r.Acquire(); p != nil {
-			t.calls = append(t.calls, pinnedCall{p, r.Active()})
+			t.calls = append(t.calls, callWithTable{p, r.Active()})
 		}
 	case 5:
 		t.endCall()
@@ -72,42 +72,42 @@
 	at := t.now + Time(rapid.IntRange(0, 500).Draw(t.T, "in"))
 	err := r.Activate(t.now, table.Digest(), activeDigest(r), at)
 	if err == nil && at <= t.now && r.Active() != table {
-		t.Fatal("activated, and not active")
+		t.Fatal("the activated version is not active")
 	} else if err != nil && r.Active() != before {
 		t.Fatal("a failed activation changed the active version")
 	}
 }
 
-// endCall releases the pin of a call, twice: the second release must have no effect.
+// endCall releases the reference of a call twice. The second release must have no effect.
 func (t *registryTest) endCall() {
 	if len(t.calls) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(t.calls)-1).Draw(t.T, "call")
-	t.calls[i].pin.Release()
-	t.calls[i].pin.Release()
+	t.calls[i].ref.Release()
+	t.calls[i].ref.Release()
 	t.calls = slices.Delete(t.calls, i, i+1)
 }
 
 func (t *registryTest) checkInvariants() {
-	pins := make(map[string]int)
+	callsByDigest := make(map[string]int)
 	for _, c := range t.calls {
-		if c.pin.Table() != c.table {
+		if c.ref.Table() != c.table {
 			t.Fatal("the table of a call changed")
 		}
-		pins[c.table.Digest()]++
+		callsByDigest[c.table.Digest()]++
 	}
 	versions := t.registry.List()
 	if len(versions) > maxVersions {
 		t.Fatalf("%d versions", len(versions))
 	}
 	for _, s := range versions {
-		if s.Calls != pins[s.Digest] {
-			t.Fatalf("%d calls use %s, %d are listed", pins[s.Digest], s.Digest, s.Calls)
+		if s.Calls != callsByDigest[s.Digest] {
+			t.Fatalf("%d calls use %s, List returns %d", callsByDigest[s.Digest], s.Digest, s.Calls)
 		}
-		delete(pins, s.Digest)
+		delete(callsByDigest, s.Digest)
 	}
-	if len(pins) > 0 {
-		t.Fatalf("removed while in use: %v", pins)
+	if len(callsByDigest) > 0 {
+		t.Fatalf("versions were removed while in use: %v", callsByDigest)
 	}
 }
--- a/internal/numbering/registry_test.go
+++ b/internal/numbering/registry_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// activate activates a table over the one that is active.
+// activate activates a table in place of the active one.
 func activate(t testing.TB, r *Registry, table *Table) {
 	t.Helper()
 	if err := r.Activate(now, table.Digest(), activeDigest(r), 0); err != nil {
@@ -36,7 +36,7 @@
 	var r Registry
 	a, b, c := tableWithPool(t, 0), tableWithPool(t, 1), tableWithPool(t, 2)
 	if p := r.Acquire(); p.Table() != nil {
-		t.Error("a pin of an empty registry has a table")
+		t.Error("a reference to an empty registry has a table")
 	}
 	loadAll(t, &r, a, b, a)
 	if len(r.List()) != 2 || r.Active() != nil {
@@ -44,16 +44,16 @@
 	}
 	activate(t, &r, a)
 	call := r.Acquire()
-	// Of two operators who saw the same active version, the second one gets an error.
+	// If two operators saw the same active version, the second activation fails.
 	activate(t, &r, b)
 	if err := r.Activate(now, a.Digest(), a.Digest(), 0); !errors.Is(err, ErrVersionConflict) {
-		t.Errorf("the second of two activations: %v", err)
+		t.Errorf("second activation: %v", err)
 	}
 	if call.Table() != a || r.Acquire().Table() != b {
 		t.Error("the table of a call has changed")
 	}
 	if err := r.Activate(now, c.Digest(), b.Digest(), 0); !errors.Is(err, ErrUnknownVersion) {
-		t.Errorf("a version that is not loaded: %v", err)
+		t.Errorf("activation of a version that is not loaded: %v", err)
 	}
 	call.Release()
 	call.Release()
@@ -75,23 +75,23 @@
 		t.Fatal(err)
 	}
 	if err := r.Activate(now, a.Digest(), b.Digest(), 0); !errors.Is(err, ErrVersionConflict) {
-		t.Errorf("an activation while another is scheduled: %v", err)
+		t.Errorf("activation while another is scheduled: %v", err)
 	}
 	if r.Tick(scheduledAt-1) || r.Active() != b || r.NextActivation() != scheduledAt {
 		t.Error("activated too early")
 	}
 	if !r.Tick(scheduledAt) || r.Active() != c || r.Tick(scheduledAt+time.Hour) {
-		t.Error("not activated exactly once")
+		t.Error("the scheduled version was not activated exactly once")
 	}
 	if err := r.Rollback(now, b.Digest()); !errors.Is(err, ErrVersionConflict) {
-		t.Errorf("a rollback over another activation: %v", err)
+		t.Errorf("rollback with an outdated active version: %v", err)
 	}
 	if err := r.Rollback(now, c.Digest()); err != nil || r.Active() != b {
 		t.Errorf("%v", err)
 	}
 }
 
-// Only versions that are not in use make place for a new one, the oldest first.
+// A new version replaces the oldest version that is not in use.
 func TestLoadEvictsOldestUnusedVersion(t *testing.T) {
 	var r Registry
 	tables := make([]*Table, maxVersions+2)
@@ -103,14 +103,14 @@
 	r.Acquire()
 	loadAll(t, &r, tables[maxVersions])
 	if r.find(tables[1].Digest()) != nil || r.find(tables[0].Digest()) == nil {
-		t.Error("not the oldest unused version was evicted")
+		t.Error("the evicted version is not the oldest unused one")
 	}
 	for _, table := range tables[2 : maxVersions+1] {
 		activate(t, &r, table)
 		r.Acquire()
 	}
 	if err := r.Load(now, tables[maxVersions+1]); !errors.Is(err, ErrTooManyVersions) {
-		t.Errorf("all versions are in use: %v", err)
+		t.Errorf("Load while all versions are in use: %v", err)
 	}
 	if len(r.List()) != maxVersions {
 		t.Errorf("%d versions", len(r.List()))
--- a/internal/numbering/replay_test.go
+++ b/internal/numbering/replay_test.go
@@ -11,15 +11,15 @@
 
 const (
 	replayedCalls   = 100_000
-	callsPerTable   = 500  // calls between two activations
-	retryAfterCalls = 1000 // calls between the first and the second analysis of a call
+	callsPerTable   = 500  // number of calls between two activations
+	retryAfterCalls = 1000 // number of calls between the first and the second analysis of a call
 )
 
 // replay analyses calls while the active table changes.
 type replay struct {
 	*testing.T
 	random  *rand.Rand
-	desk    VersionManager
+	manager VersionManager
 	rules   map[string]*numberingtest.Rules // by digest
 	digests []string
 	now     Time
@@ -27,15 +27,15 @@
 
 // replayedCall is a call that has been analysed once.
 type replayedCall struct {
-	pin    *TableRef
+	ref    *TableRef
 	digest string // of the table that was active at the first analysis
 	query  Query
 	number string
 	first  string // result of the first analysis
 }
 
-// Each of 100,000 calls is analysed twice, while the active table changes every 500 calls. Both analyses use the table
-// that was active at the first one, and give what the reference implementation gives for the rules of that table.
+// 100,000 calls are analysed twice each while the active table changes every 500 calls. Both analyses must use the
+// table that was active at the first one, and agree with the reference implementation for the rules of that table.
 func TestReplayAcrossTableChanges(t *testing.T) {
 	test := &replay{
 		T:      t,
@@ -56,22 +56,22 @@
 			continue
 		}
 		oldest := &calls[0]
-		if test.desk.Active().Digest() != oldest.digest {
+		if test.manager.Active().Digest() != oldest.digest {
 			otherTable++
 		}
 		if test.analyse(oldest) != oldest.first {
 			differentResults++
 		}
-		oldest.pin.Release()
+		oldest.ref.Release()
 		calls = calls[1:]
 	}
 	if differentResults > 0 || otherTable < replayedCalls/2 {
 		t.Errorf("%d results changed; at %d second analyses another table was active", differentResults, otherTable)
 	}
 	for i := range calls {
-		calls[i].pin.Release()
+		calls[i].ref.Release()
 	}
-	for _, s := range test.desk.List() {
+	for _, s := range test.manager.List() {
 		if s.Calls != 0 {
 			t.Errorf("%d calls use %s after all have ended", s.Calls, s.Name)
 		}
@@ -90,7 +90,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := t.desk.Load(now, table); err != nil {
+		if err := t.manager.Load(now, table); err != nil {
 			t.Fatal(err)
 		}
 		t.rules[table.Digest()] = rules
@@ -100,15 +100,15 @@
 
 func (t *replay) activateRandomTable() {
 	t.Helper()
-	order := Command{
+	command := Command{
 		Op:             OpActivate,
 		Digest:         t.digests[t.random.IntN(len(t.digests))],
-		ExpectedActive: activeDigest(&t.desk.Registry),
+		ExpectedActive: activeDigest(&t.manager.Registry),
 	}
-	if _, _, err := t.desk.Begin(t.now, order); err != nil {
+	if _, _, err := t.manager.Begin(t.now, command); err != nil {
 		t.Fatal(err)
 	}
-	if err := t.desk.Finish(t.now, nil); err != nil {
+	if err := t.manager.Finish(t.now, nil); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -118,8 +118,8 @@
 	number := fmt.Sprint(1_000_000 + t.random.IntN(9_000_000))
 	class := []string{"voice", "alarm"}[t.random.IntN(2)]
 	c := replayedCall{
-		pin:    t.desk.Acquire(),
-		digest: t.desk.Active().Digest(),
+		ref:    t.manager.Acquire(),
+		digest: t.manager.Active().Digest(),
 		query:  Query{Number: "+" + number, Class: class, At: t.now, Seed: seed},
 		number: number,
 	}
@@ -127,10 +127,11 @@
 	return c
 }
 
-// analyse analyses a call by the table that it has pinned and compares the decision with the reference.
+// analyse analyses a call with the table that it refers to, compares the decision with the reference implementation and
+// returns it as text.
 func (t *replay) analyse(c *replayedCall) string {
 	t.Helper()
-	d := c.pin.Table().Analyse(&c.query)
+	d := c.ref.Table().Analyse(&c.query)
 	rules := t.rules[c.digest]
 	want := rules.Decide(c.number, c.query.Class, time.Unix(0, int64(c.query.At)))
 	if !matchesReference(&d, want) {
@@ -140,6 +141,7 @@
 	return fmt.Sprint(d.Verdict, d.Cause, d.Pools())
 }
 
+// matchesReference reports whether a decision agrees with the reference implementation.
 func matchesReference(d *Decision, want numberingtest.Expectation) bool {
 	if d.Verdict == Rejected {
 		return want.Cause == d.Cause
--- a/internal/numbering/trie_test.go
+++ b/internal/numbering/trie_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// shortDigits draws short numbers, of which many are prefixes of others.
+// shortDigits generates short numbers, many of which are prefixes of others.
 var shortDigits = rapid.StringMatching(`[0-3]{1,6}`)
 
-// The trie finds the same prefix as a linear search.
+// The trie finds the same longest prefix as a linear search.
 func TestTrieEqualsLinearScan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var b trieBuilder
@@ -31,14 +31,14 @@
 					want, length = int32(i), len(p)
 				}
 			}
-			if e, n := tr.find([]byte(number)); e != want || n != length {
-				rt.Fatalf("%s: entry %d (%d digits), want %d (%d)", number, e, n, want, length)
+			if index, n := tr.find([]byte(number)); index != want || n != length {
+				rt.Fatalf("%s: entry %d (%d digits), want %d (%d)", number, index, n, want, length)
 			}
 		}
 	})
 }
 
-// The prefixes of a range cover each of its numbers once, and no other numbers.
+// The prefixes of a range cover each of its numbers exactly once and no other numbers.
 func TestRangePrefixesCoverRange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(rt, "digits")
@@ -46,18 +46,18 @@
 		for range n {
 			count *= 10
 		}
-		lo := rapid.IntRange(0, count-1).Draw(rt, "first")
-		hi := rapid.IntRange(lo, count-1).Draw(rt, "last")
-		prefixes := rangePrefixes(fmt.Sprintf("%0*d", n, lo), fmt.Sprintf("%0*d", n, hi))
+		first := rapid.IntRange(0, count-1).Draw(rt, "first")
+		last := rapid.IntRange(first, count-1).Draw(rt, "last")
+		prefixes := rangePrefixes(fmt.Sprintf("%0*d", n, first), fmt.Sprintf("%0*d", n, last))
 		for v := range count {
-			hits := 0
+			matches := 0
 			for _, p := range prefixes {
 				if strings.HasPrefix(fmt.Sprintf("%0*d", n, v), p) {
-					hits++
+					matches++
 				}
 			}
-			if want := v >= lo && v <= hi; want != (hits == 1) || hits > 1 {
-				rt.Fatalf("%d is covered by %d prefixes of %d to %d: %v", v, hits, lo, hi, prefixes)
+			if want := v >= first && v <= last; want != (matches == 1) || matches > 1 {
+				rt.Fatalf("%d is covered by %d prefixes of %d to %d: %v", v, matches, first, last, prefixes)
 			}
 		}
 	})
