--- a/internal/enum/loop.go
+++ b/internal/enum/loop.go
@@ -61,7 +61,6 @@
 	}
 }
 
-// deliver passes a result to the callback of its call.
 func (c *Client) deliver(delivery portability.DeliverResult) {
 	callback := c.callbacks[delivery.Call]
 	if callback == nil {
--- a/internal/numbering/activationstate.go
+++ b/internal/numbering/activationstate.go
@@ -10,9 +10,9 @@
 // the scheduled version.
 type ActivationState struct {
 	Active      string `json:"active"`
-	Previous    string `json:"before,omitempty"`
-	Scheduled   string `json:"next,omitempty"`
-	ScheduledAt Time   `json:"due,omitempty"` // time of the scheduled activation
+	Previous    string `json:"before,omitempty"` // active before the current one; "": none
+	Scheduled   string `json:"next,omitempty"`   // "": none
+	ScheduledAt Time   `json:"due,omitempty"`    // time of the scheduled activation
 }
 
 // Encode returns the stored form of s.
--- a/internal/numbering/bench_test.go
+++ b/internal/numbering/bench_test.go
@@ -86,7 +86,6 @@
 	}
 }
 
-// benchmarkMaps measures the search for the longest prefix in one map per prefix length.
 func benchmarkMaps(b *testing.B, r *Rules, numbers []string) {
 	var entriesByLength [16]map[string]int
 	for i, p := range r.Prefix {
--- a/internal/numbering/fixture_test.go
+++ b/internal/numbering/fixture_test.go
@@ -118,7 +118,6 @@
 `, pool, pool))
 }
 
-// describeDecision returns a decision as text.
 func describeDecision(d Decision) string {
 	prefix := ""
 	if d.Emergency {
--- a/internal/numbering/manager.go
+++ b/internal/numbering/manager.go
@@ -128,7 +128,6 @@
 	return err
 }
 
-// end records the result of a command.
 func (m *VersionManager) end(err error) {
 	m.job.IsRunning = false
 	if err != nil {
--- a/internal/numbering/replay_test.go
+++ b/internal/numbering/replay_test.go
@@ -141,7 +141,6 @@
 	return fmt.Sprint(d.Verdict, d.Cause, d.Pools())
 }
 
-// matchesReference reports whether a decision agrees with the reference implementation.
 func matchesReference(d *Decision, want numberingtest.Expectation) bool {
 	if d.Verdict == Rejected {
 		return want.Cause == d.Cause
--- a/internal/numbering/trie.go
+++ b/internal/numbering/trie.go
@@ -76,7 +76,6 @@
 	}
 }
 
-// walkNode visits the prefixes in the subtree of a node.
 func (t *trie) walkNode(index int32, prefix []byte, visit func(prefix string)) {
 	n := &t.nodes[index]
 	if n.entry >= 0 {
--- a/internal/portability/resolver.go
+++ b/internal/portability/resolver.go
@@ -77,7 +77,6 @@
 	r.sendQuery(now, l)
 }
 
-// deliver adds the action that delivers a result to a call.
 func (r *Resolver) deliver(call string, result Result) {
 	r.actions = append(r.actions, DeliverResult{call, result})
 }
