--- a/internal/numbering/digits_test.go
+++ b/internal/numbering/digits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestMakeDigits(t *testing.T) {
+func TestParseDigits(t *testing.T) {
 	for _, text := range []string{"0", "56221234567", strings.Repeat("9", maxDigits)} {
 		if d, ok := ParseDigits(text); !ok || d.String() != text {
 			t.Errorf("%q: %q, %v", text, d, ok)
--- a/internal/numbering/golden_test.go
+++ b/internal/numbering/golden_test.go
@@ -74,7 +74,7 @@
 }
 
 // The encoded activation state and the list of versions equal the golden files, and the stored state can be decoded.
-func TestGoldenStanding(t *testing.T) {
+func TestGoldenActivationState(t *testing.T) {
 	var m VersionManager
 	var digests []string
 	for _, table := range []*Table{goldenTable(t, "rules.toml"), goldenTable(t, "next.toml"), compileText(t, testRules)} {
@@ -93,8 +93,8 @@
 		}
 	}
 	goldentest.CompareFile(t, goldenPath("versions.json"), indentedJSON(t, m.List()))
-	goldentest.CompareFile(t, goldenPath("standing.json"), m.ActivationState().Encode())
-	text, err := os.ReadFile(goldenPath("standing.json"))
+	goldentest.CompareFile(t, goldenPath("activation_state.json"), m.ActivationState().Encode())
+	text, err := os.ReadFile(goldenPath("activation_state.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/numbering/manager_test.go
+++ b/internal/numbering/manager_test.go
@@ -17,7 +17,7 @@
 
 // The state that Begin returns is the state after Finish; a command whose state cannot be stored changes nothing; and a
 // restart from the stored state leads to the same active version.
-func TestOrdersSurviveRestart(t *testing.T) {
+func TestCommandsSurviveRestart(t *testing.T) {
 	var tables []*Table
 	for i := range 4 {
 		tables = append(tables, tableWithPool(t, i))
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestLoadOrder(t *testing.T) {
+func TestLoadCommand(t *testing.T) {
 	var m VersionManager
 	table := tableWithPool(t, 0)
 	id, save, err := m.Begin(now, Command{Op: OpLoad, File: "rules.toml"})
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestFailedLoadOrder(t *testing.T) {
+func TestFailedLoadCommand(t *testing.T) {
 	var m VersionManager
 	if _, _, err := m.Begin(now, Command{Op: OpLoad, File: "rules.toml"}); err != nil {
 		t.Fatal(err)
