--- a/cmd/olivectl/numbers_show.go
+++ b/cmd/olivectl/numbers_show.go
@@ -69,7 +69,7 @@
 	if !ok {
 		return nil, cli.Usage("--moved: %q is no routing number", f.moved)
 	}
-	q.Ported = numbering.PortingResult{State: numbering.Moved, Routing: digits}
+	q.Ported = numbering.PortingResult{State: numbering.Ported, Routing: digits}
 	return q, nil
 }
 
--- a/internal/enum/client_test.go
+++ b/internal/enum/client_test.go
@@ -169,7 +169,7 @@
 	got.mu.Lock()
 	defer got.mu.Unlock()
 	for call, r := range got.byCall {
-		isPorted := r.Ported.State == numbering.Moved && r.Ported.Routing.String() == "56999"
+		isPorted := r.Ported.State == numbering.Ported && r.Ported.Routing.String() == "56999"
 		hasAnswer := firstMode == "works" || secondMode == "works"
 		if hasAnswer && !isPorted || !hasAnswer && r.Ported.State != numbering.PortingUnknown {
 			t.Errorf("call %s: %+v", call, r)
--- a/internal/numbering/analyse.go
+++ b/internal/numbering/analyse.go
@@ -93,7 +93,7 @@
 		e.lookUpRequired()
 		d.Verdict = LookUpRequired
 		return 0, false
-	case Moved:
+	case Ported:
 		return t.matchRoutingNumber(d, q.Ported.Routing, e)
 	default:
 		e.notPorted(q.Ported.State)
--- a/internal/numbering/golden_test.go
+++ b/internal/numbering/golden_test.go
@@ -51,7 +51,7 @@
 			{Number: "+56 9 0123 4567", At: now, Class: "alarm"},
 			{Number: "+56 9 1234 5678", At: now},
 			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: NotPorted}},
-			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: Moved, Routing: moved}},
+			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: Ported, Routing: moved}},
 			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: PortingUnknown}},
 			{Number: "0056 2 2555 0150", At: now},
 			{Number: "+49 30 123456", At: now, Seed: Seed("0123456789abcdef")},
--- a/internal/numbering/query.go
+++ b/internal/numbering/query.go
@@ -12,7 +12,7 @@
 // PortingResult is the result of the portability look-up of a number.
 type PortingResult struct {
 	State   PortingState
-	Routing Digits // routing number, if State is Moved
+	Routing Digits // routing number, if State is Ported
 }
 
 // PortingState is the state of the portability look-up of a number.
@@ -22,7 +22,7 @@
 const (
 	NotLookedUp    PortingState = iota
 	NotPorted                   // the number is routed by its own digits
-	Moved                       // the number is routed by its routing number
+	Ported                      // the number is routed by its routing number
 	PortingUnknown              // no server answered in time; the number is routed by its own digits
 )
 
--- a/internal/portability/resolver.go
+++ b/internal/portability/resolver.go
@@ -178,7 +178,7 @@
 	ported := numbering.PortingResult{State: numbering.NotPorted}
 	ttl := r.settings.NegativeTTL
 	if answer.Ported {
-		ported = numbering.PortingResult{State: numbering.Moved, Routing: answer.Routing}
+		ported = numbering.PortingResult{State: numbering.Ported, Routing: answer.Routing}
 		ttl = min(max(answer.TTL, r.settings.MinTTL), r.settings.MaxTTL)
 	}
 	r.cache.put(l.number, ported, now+ttl)
--- a/internal/portability/resolver_test.go
+++ b/internal/portability/resolver_test.go
@@ -81,7 +81,7 @@
 		t.Errorf("an answer after the time-out: %+v", actions)
 	}
 	got := resultsIn(r.HandleAnswer(at, 1, second[0].ID, "561", portedAnswer(t)))
-	if len(got) != 2 || got["a"].Origin != OriginServer || got["a"].Ported.State != numbering.Moved || got["b"] != got["a"] {
+	if len(got) != 2 || got["a"].Origin != OriginServer || got["a"].Ported.State != numbering.Ported || got["b"] != got["a"] {
 		t.Errorf("%+v", got)
 	}
 	got = resultsIn(r.LookUp(at+59*time.Second, "c", "561", at+time.Hour))
@@ -94,7 +94,7 @@
 		t.Error("no query after the TTL")
 	}
 	got = resultsIn(r.HandleTimeouts(at + 100*time.Millisecond))
-	if got["d"].Origin != OriginStaleCache || got["d"].Ported.State != numbering.Moved {
+	if got["d"].Origin != OriginStaleCache || got["d"].Ported.State != numbering.Ported {
 		t.Errorf("%+v", got)
 	}
 	if r.NextDeadline() != math.MaxInt64 || indexedLookups(r) != 0 {
