--- a/internal/numbering/analyse_test.go
+++ b/internal/numbering/analyse_test.go
@@ -10,7 +10,7 @@
 func TestAnalyse(t *testing.T) {
 	table := compileText(t, testRules)
 	night := Time(time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC).UnixNano())
-	moved, _ := ParseDigits("56221")
+	routing, _ := ParseDigits("56221")
 	for _, c := range []struct {
 		q    Query
 		want string
@@ -29,7 +29,7 @@
 		{Query{Number: "+569123"}, "ask"},
 		{Query{Number: "+569123", Ported: PortingResult{State: NotPorted}}, "routed 569123 mobile [5]"},
 		{Query{Number: "+569123", Ported: PortingResult{State: PortingUnknown}}, "routed 569123 mobile [5]"},
-		{Query{Number: "+569123", Ported: PortingResult{State: Ported, Routing: moved}}, "routed 569123 centre [2 4]"},
+		{Query{Number: "+569123", Ported: PortingResult{State: Ported, Routing: routing}}, "routed 569123 centre [2 4]"},
 		{Query{Number: "+4912345"}, "routed 4912345 rest [6]"},
 		{Query{Number: "abc"}, "refused 1"},
 		{Query{Number: ""}, "refused 1"},
--- a/internal/numbering/golden_test.go
+++ b/internal/numbering/golden_test.go
@@ -35,7 +35,7 @@
 // The digests, decisions and explanations of two tables, and the changes between them, equal the golden files.
 func TestGoldenDecisions(t *testing.T) {
 	night := Time(time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC).UnixNano())
-	moved, ok := ParseDigits("56225550101")
+	routing, ok := ParseDigits("56225550101")
 	if !ok {
 		t.Fatal("no digits")
 	}
@@ -51,7 +51,7 @@
 			{Number: "+56 9 0123 4567", At: now, Class: "alarm"},
 			{Number: "+56 9 1234 5678", At: now},
 			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: NotPorted}},
-			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: Ported, Routing: moved}},
+			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: Ported, Routing: routing}},
 			{Number: "+56 9 1234 5678", At: now, Ported: PortingResult{State: PortingUnknown}},
 			{Number: "0056 2 2555 0150", At: now},
 			{Number: "+49 30 123456", At: now, Seed: Seed("0123456789abcdef")},
--- a/internal/numbering/numberingtest/random.go
+++ b/internal/numbering/numberingtest/random.go
@@ -54,11 +54,11 @@
 // only open in office hours.
 func randomRoute(rng *rand.Rand, index, pools int) Route {
 	route := Route{Name: routeName(index)}
-	order := rng.Perm(pools)
+	shuffled := rng.Perm(pools)
 	for step := range stepCount {
 		for range 1 + rng.IntN(2) {
-			target := Target{Pool: order[0], Step: step, Weight: 1 + rng.IntN(maxWeight)}
-			order = order[1:]
+			target := Target{Pool: shuffled[0], Step: step, Weight: 1 + rng.IntN(maxWeight)}
+			shuffled = shuffled[1:]
 			if step == 0 && index%2 == 0 {
 				target.When = Office
 			}
--- a/internal/numbering/rules.go
+++ b/internal/numbering/rules.go
@@ -72,7 +72,7 @@
 }
 
 // Route is a list of targets, tried in the order of their steps. Within a step, the first target for a call is chosen
-// at random by weight; the others follow.
+// by weight from the seed of the call, and the others follow.
 type Route struct {
 	Name   string   `toml:"name"`
 	Target []Target `toml:"target"`
