--- a/internal/enum/client.go
+++ b/internal/enum/client.go
@@ -114,9 +114,9 @@
 func unixNow() portability.Time { return portability.Time(time.Now().UnixNano()) }
 
 // LookUp requests the look-up of a number, given in E.164 digits, for a call that waits for timeout at most. It does
-// not block. deliver is called once with the result, on the client's goroutine, and must not block. It is not called after
-// Cancel has been executed. If too many tasks are queued, LookUp returns false and deliver is never called; the caller
-// then continues as with a result without an answer.
+// not block. deliver is called once with the result, on the client's goroutine, and must not block. It is not called
+// after Cancel has been executed. If too many tasks are queued, LookUp returns false and deliver is never called; the
+// caller then continues as with a result without an answer.
 func (c *Client) LookUp(call, number string, timeout time.Duration, deliver func(portability.Result)) bool {
 	deadline := unixNow() + timeout
 	return c.enqueue(func() {
--- a/internal/numbering/registry.go
+++ b/internal/numbering/registry.go
@@ -55,18 +55,18 @@
 type TableRef struct{ version *version }
 
 // Table returns the table of the version, or nil if there is none or the reference has been released.
-func (ref *TableRef) Table() *Table {
-	if ref == nil || ref.version == nil {
+func (r *TableRef) Table() *Table {
+	if r == nil || r.version == nil {
 		return nil
 	}
-	return ref.version.table
+	return r.version.table
 }
 
 // Release releases the reference. Further calls have no effect.
-func (ref *TableRef) Release() {
-	if ref != nil && ref.version != nil {
-		ref.version.refCount--
-		ref.version = nil
+func (r *TableRef) Release() {
+	if r != nil && r.version != nil {
+		r.version.refCount--
+		r.version = nil
 	}
 }
 
