--- a/internal/sim/cluster/draw.go
+++ b/internal/sim/cluster/draw.go
@@ -91,7 +91,7 @@
 func (d *drawer) fraction(low, width float64) float64 { return low + width*d.rng.Float64() }
 
 // one draws a part of a kind.
-func (d *drawer) one(kind partKind) []string {
+func (d *drawer) one(kind componentKind) []string {
 	names := d.topology.namesOfKind(kind)
 	return []string{names[d.rng.IntN(len(names))]}
 }
--- a/internal/sim/cluster/draw_faults.go
+++ b/internal/sim/cluster/draw_faults.go
@@ -24,7 +24,7 @@
 	f.Kind = FaultPartition
 	f.Name = partitionZone
 	f.From = []string{d.zone}
-	for _, exchange := range d.topology.namesOfKind(partExchange) {
+	for _, exchange := range d.topology.namesOfKind(kindExchange) {
 		if zoneName(d.topology.zoneOf(exchange)) != d.zone {
 			f.To = append(f.To, exchange)
 		}
@@ -36,13 +36,13 @@
 
 func drawOneWayToExchange(d *drawer, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(partController)
-	f.To = d.one(partExchange)
+	f.From = d.one(kindController)
+	f.To = d.one(kindExchange)
 }
 
 func drawOneWayFromExchange(d *drawer, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 	f.To = []string{allControllers}
 }
 
@@ -56,7 +56,7 @@
 
 func drawExchangeReset(d *drawer, f *Fault) {
 	f.Kind = FaultConnectionReset
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 	f.To = []string{allControllers}
 	f.Duration = 0
 }
@@ -64,12 +64,12 @@
 func drawHalfOpenExchange(d *drawer, f *Fault) {
 	f.Kind = FaultHalfOpen
 	f.From = []string{allControllers}
-	f.To = d.one(partExchange)
+	f.To = d.one(kindExchange)
 }
 
 func drawBandwidthLimit(d *drawer, f *Fault) {
 	f.Kind = FaultBandwidthLimit
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 	f.To = []string{allExchanges}
 	f.BytesPerSecond = 2000 + d.rng.IntN(20_000)
 }
@@ -99,7 +99,7 @@
 func drawAgentPartition(d *drawer, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionAgent
-	f.From = d.one(partAgent)
+	f.From = d.one(kindAgent)
 	f.To = []string{storeName}
 	if d.chance(2) {
 		f.To = []string{zoneName(d.topology.zoneOf(f.From[0]))}
@@ -108,12 +108,12 @@
 
 func drawPause(d *drawer, f *Fault) {
 	f.Kind = FaultPause
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 }
 
 func drawKillOrTerminate(d *drawer, f *Fault) {
 	f.Kind = FaultKill
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 	f.Duration = 0
 	if d.chance(4) {
 		f.Kind = FaultTerminate
@@ -122,18 +122,18 @@
 
 func drawSlowdown(d *drawer, f *Fault) {
 	f.Kind = FaultSlowdown
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 	f.Factor = d.fraction(2, 4)
 }
 
 func drawHang(d *drawer, f *Fault) {
 	f.Kind = FaultHang
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 }
 
 func drawCrashOrReplace(d *drawer, f *Fault) {
 	f.Kind = FaultCrash
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 	if d.chance(2) {
 		f.Kind = FaultReplace
 		f.Duration = d.between(2500*time.Millisecond, 4*time.Second)
@@ -142,7 +142,7 @@
 
 func drawDroppedCalls(d *drawer, f *Fault) {
 	f.Kind = FaultDropCalls
-	f.From = d.one(partExchange)
+	f.From = d.one(kindExchange)
 	f.Fraction = d.fraction(0.2, 0.5)
 	f.Duration = 0
 }
@@ -164,7 +164,7 @@
 
 func drawDiskFull(d *drawer, f *Fault) {
 	f.Kind = FaultDiskFull
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 }
 
 func drawPeerLoss(_ *drawer, f *Fault) {
@@ -178,7 +178,7 @@
 func drawPeerPartition(d *drawer, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionHalf
-	for i, name := range d.topology.namesOfKind(partController) {
+	for i, name := range d.topology.namesOfKind(kindController) {
 		if i%2 == 0 {
 			f.From = append(f.From, name)
 		} else {
@@ -196,7 +196,7 @@
 
 func drawPeerOneWayPartition(d *drawer, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 	f.To = []string{allControllers}
 }
 
@@ -209,6 +209,6 @@
 
 func drawByzantinePeer(d *drawer, f *Fault) {
 	f.Kind = FaultByzantinePeer
-	f.From = d.one(partController)
+	f.From = d.one(kindController)
 	f.Fraction = float64(d.rng.IntN(2))
 }
--- a/internal/sim/cluster/fault.go
+++ b/internal/sim/cluster/fault.go
@@ -108,11 +108,11 @@
 		return nil
 	}
 	switch kindOf(name) {
-	case partStore:
+	case kindStore:
 		return storeFaults
-	case partExchange:
+	case kindExchange:
 		return exchangeFaults
-	case partAgent:
+	case kindAgent:
 		return agentFaults
 	default:
 		return controllerFaults
--- a/internal/sim/cluster/fault_kind.go
+++ b/internal/sim/cluster/fault_kind.go
@@ -112,7 +112,7 @@
 		FaultPartition, FaultOneWayPartition, FaultDelay, FaultDatagramLoss, FaultDatagramDuplication,
 		FaultReorder, FaultConnectionReset, FaultHalfOpen, FaultBandwidthLimit,
 	}
-	partFaults = []FaultKind{
+	componentFaults = []FaultKind{
 		FaultPause, FaultKill, FaultTerminate, FaultDiskFull, FaultSlowdown,
 		FaultHang, FaultCrash, FaultReplace, FaultDropCalls, FaultByzantinePeer,
 	}
@@ -161,7 +161,7 @@
 // allFaultKeys lists the keys of all kinds.
 func allFaultKeys() string {
 	var keys []string
-	for _, kind := range slices.Concat(pathFaults, partFaults, storeFaults) {
+	for _, kind := range slices.Concat(pathFaults, componentFaults, storeFaults) {
 		keys = append(keys, kind.String())
 	}
 	return strings.Join(keys, ", ")
--- a/internal/sim/cluster/inject.go
+++ b/internal/sim/cluster/inject.go
@@ -32,21 +32,21 @@
 		return
 	}
 	names, _ := r.options.Topology.Match(f.From) // the schedule was checked
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var targets sync.WaitGroup
+	defer targets.Wait()
 	for _, name := range names {
-		parts.Go(func() { r.injectPartFault(ctx, f, name) })
+		targets.Go(func() { r.injectComponentFault(ctx, f, name) })
 	}
 }
 
-// injectPartFault injects a fault into one part.
-func (r *Run) injectPartFault(ctx context.Context, f *Fault, name string) {
+// injectComponentFault injects a fault into one part.
+func (r *Run) injectComponentFault(ctx context.Context, f *Fault, name string) {
 	switch kindOf(name) {
-	case partStore:
+	case kindStore:
 		r.injectStoreFault(ctx, f)
-	case partExchange:
+	case kindExchange:
 		r.injectExchangeFault(ctx, f, r.slot(name))
-	case partAgent:
+	case kindAgent:
 		r.injectAgentFault(ctx, f, name)
 	default:
 		r.injectControllerFault(ctx, f, r.controller(name))
--- a/internal/sim/cluster/schedule_test.go
+++ b/internal/sim/cluster/schedule_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	for _, k := range slices.Concat(pathFaults, partFaults, storeFaults) {
+	for _, k := range slices.Concat(pathFaults, componentFaults, storeFaults) {
 		if !kinds[k] {
 			t.Errorf("no schedule has the fault %s", k)
 		}
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -68,7 +68,7 @@
 
 func (r *Run) startExchanges() error {
 	t := &r.options.Topology
-	for i, name := range t.namesOfKind(partExchange) {
+	for i, name := range t.namesOfKind(kindExchange) {
 		s := &exchangeSlot{name: name, pool: i, zone: i % t.Zones}
 		r.slots = append(r.slots, s)
 		if err := r.startExchange(s, false); err != nil {
@@ -79,7 +79,7 @@
 }
 
 func (r *Run) startAgents() error {
-	for _, name := range r.options.Topology.namesOfKind(partAgent) {
+	for _, name := range r.options.Topology.namesOfKind(kindAgent) {
 		a := &agent{name: name}
 		r.agents = append(r.agents, a)
 		if err := r.startAgent(a); err != nil {
@@ -101,7 +101,7 @@
 		Seed:          r.options.Schedule.Seed,
 		Observe:       r.monitor.record,
 	}
-	for i, name := range t.namesOfKind(partController) {
+	for i, name := range t.namesOfKind(kindController) {
 		c := &controller{name: name, number: i, zone: i % t.Zones, exchangeProxies: make(map[string]*streamProxy)}
 		r.controllers = append(r.controllers, c)
 		if err := r.prepareController(c); err != nil {
--- a/internal/sim/cluster/topology.go
+++ b/internal/sim/cluster/topology.go
@@ -17,14 +17,14 @@
 	Share bool `json:",omitempty"`
 }
 
-// partKind is the kind of a part: the first letter of its name.
-type partKind byte
+// componentKind is the kind of a part: the first letter of its name.
+type componentKind byte
 
 const (
-	partController partKind = 'n'
-	partExchange   partKind = 'x'
-	partAgent      partKind = 'a'
-	partStore      partKind = 'e'
+	kindController componentKind = 'n'
+	kindExchange   componentKind = 'x'
+	kindAgent      componentKind = 'a'
+	kindStore      componentKind = 'e'
 )
 
 // Names of the parts of which there is one.
@@ -53,7 +53,7 @@
 }
 
 // kindOf returns the kind of a part other than discovery.
-func kindOf(name string) partKind { return partKind(name[0]) }
+func kindOf(name string) componentKind { return componentKind(name[0]) }
 
 // zoneName returns the name of a zone.
 func zoneName(zone int) string { return fmt.Sprint("z", zone) }
@@ -68,16 +68,16 @@
 }
 
 // namesOfKind returns the names of the parts of a kind.
-func (t *Topology) namesOfKind(kind partKind) []string {
+func (t *Topology) namesOfKind(kind componentKind) []string {
 	count := 0
 	switch kind {
-	case partController:
+	case kindController:
 		count = t.Controllers
-	case partExchange:
+	case kindExchange:
 		count = t.Exchanges
-	case partAgent:
+	case kindAgent:
 		count = t.Zones
-	case partStore:
+	case kindStore:
 		return []string{storeName}
 	}
 	var names []string
@@ -90,9 +90,9 @@
 // allNames returns the names of all parts.
 func (t *Topology) allNames() []string {
 	return slices.Concat(
-		t.namesOfKind(partController),
-		t.namesOfKind(partExchange),
-		t.namesOfKind(partAgent),
+		t.namesOfKind(kindController),
+		t.namesOfKind(kindExchange),
+		t.namesOfKind(kindAgent),
 		[]string{discoveryName, storeName},
 	)
 }
@@ -151,15 +151,15 @@
 		return false
 	}
 	if b == discoveryName {
-		return kindOf(a) == partController
+		return kindOf(a) == kindController
 	}
 	switch kindOf(a) {
-	case partController:
-		isPeer := kindOf(b) == partController && t.Share && a != b
-		return isPeer || kindOf(b) == partExchange
-	case partAgent:
-		isOwnController := kindOf(b) == partController && t.zoneOf(a) == t.zoneOf(b)
-		return isOwnController || kindOf(b) == partStore
+	case kindController:
+		isPeer := kindOf(b) == kindController && t.Share && a != b
+		return isPeer || kindOf(b) == kindExchange
+	case kindAgent:
+		isOwnController := kindOf(b) == kindController && t.zoneOf(a) == t.zoneOf(b)
+		return isOwnController || kindOf(b) == kindStore
 	default:
 		return false
 	}
