--- a/internal/sim/cluster/agent.go
+++ b/internal/sim/cluster/agent.go
@@ -70,7 +70,7 @@
 // awaitAgents waits until all agents have ended. Those that have not when the timeout is over are reported; the
 // parent watch kills them.
 func (r *Run) awaitAgents(timeout time.Duration) error {
-	late := time.After(timeout)
+	deadline := time.After(timeout)
 	var err error
 	for _, a := range r.agents {
 		if a.ended == nil {
@@ -78,9 +78,9 @@
 		}
 		select {
 		case <-a.ended:
-		case <-late:
+		case <-deadline:
 			err = errors.Join(err, fmt.Errorf("cluster: %s did not stop in %v and is killed", a.name, timeout))
-			late = time.After(0)
+			deadline = time.After(0)
 		}
 	}
 	return err
@@ -113,13 +113,13 @@
 	}
 	for _, descriptor := range reply.Descriptors {
 		for _, instance := range descriptor.Children {
-			r.adoptInstance(instance)
+			r.applyInstanceReport(instance)
 		}
 	}
 }
 
-// adoptInstance takes what an agent reports of an instance.
-func (r *Run) adoptInstance(instance *h248.Node) {
+// applyInstanceReport takes what an agent reports of an instance.
+func (r *Run) applyInstanceReport(instance *h248.Node) {
 	value := func(property string) string {
 		return h248.Value([]*h248.Node{instance}, "oa/instance", property)
 	}
@@ -129,5 +129,5 @@
 	if c == nil || err != nil || pid <= 1 {
 		return
 	}
-	c.adopt(pid, starts)
+	c.updateProcess(pid, starts)
 }
--- a/internal/sim/cluster/controller.go
+++ b/internal/sim/cluster/controller.go
@@ -46,7 +46,7 @@
 	admin          string // address of the admin API
 	overloadListen string // address for datagrams of the other controllers
 
-	names           *loopback.NameService
+	nameService     *loopback.NameService
 	discoveryProxy  *datagramProxy          // from the controller to discovery
 	adminProxy      *streamProxy            // from the agent to the admin API
 	exchangeProxies map[string]*streamProxy // by exchange; guarded by Run.mu
@@ -90,8 +90,8 @@
 	return true
 }
 
-// adopt remembers the process that the agent reports. A process that has ended already is ignored.
-func (c *controller) adopt(pid, starts int) {
+// updateProcess remembers the process that the agent reports. A process that has ended already is ignored.
+func (c *controller) updateProcess(pid, starts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isKnown := c.process != nil && c.process.pid == pid && !c.process.hasEnded()
@@ -140,7 +140,7 @@
 }
 
 // request has the agent of its zone run a controller.
-func (r *Run) request(c *controller) error {
+func (r *Run) requestInstance(c *controller) error {
 	gatewayListen, err := r.ports.Free()
 	if err != nil {
 		return err
--- a/internal/sim/cluster/draw.go
+++ b/internal/sim/cluster/draw.go
@@ -15,28 +15,28 @@
 // DrawSchedule draws a schedule of count faults from a seed. All faults end within the first four fifths of length,
 // so that the last fifth is free for recovery.
 func DrawSchedule(t *Topology, count int, length time.Duration, seed uint64) *Schedule {
-	d := &drawer{topology: t, length: length, rng: rand.New(rand.NewPCG(seed, scheduleStream))}
+	d := &faultSampler{topology: t, length: length, rng: rand.New(rand.NewPCG(seed, scheduleStream))}
 	s := &Schedule{Seed: seed}
 	for range count {
-		s.Faults = append(s.Faults, d.fault())
+		s.Faults = append(s.Faults, d.randomFault())
 	}
 	slices.SortFunc(s.Faults, func(a, b *Fault) int { return cmp.Compare(a.At, b.At) })
 	return s
 }
 
-// A drawer draws faults. The number and the order of its draws decide which schedule a seed gives.
-type drawer struct {
+// A faultSampler draws faults. The number and the order of its draws decide which schedule a seed gives.
+type faultSampler struct {
 	topology *Topology
 	length   time.Duration
 	rng      *rand.Rand
 	zone     string // a zone that was drawn for the current fault
 }
 
-// A faultDraw completes a fault that has its times.
-type faultDraw func(d *drawer, f *Fault)
+// A drawFunc completes a fault that has its times.
+type drawFunc func(d *faultSampler, f *Fault)
 
-// faultDraws are the kinds of faults to pick from; the random generator picks by index.
-var faultDraws = []faultDraw{
+// drawFuncs are the kinds of faults to pick from; the random generator picks by index.
+var drawFuncs = []drawFunc{
 	drawZonePartition,
 	drawOneWayToExchange,
 	drawOneWayFromExchange,
@@ -59,8 +59,8 @@
 	drawDiskFull,
 }
 
-// peerFaultDraws are the faults between controllers, which come after faultDraws if there are such paths.
-var peerFaultDraws = []faultDraw{
+// peerDrawFuncs are the faults between controllers, which come after drawFuncs if there are such paths.
+var peerDrawFuncs = []drawFunc{
 	drawPeerLoss,
 	drawPeerPartition,
 	drawPeerReorder,
@@ -70,31 +70,31 @@
 }
 
 // fault draws one fault.
-func (d *drawer) fault() *Fault {
-	f := &Fault{At: d.between(0, d.length*3/5), Duration: d.between(d.length/20, d.length/5)}
+func (d *faultSampler) randomFault() *Fault {
+	f := &Fault{At: d.randomDuration(0, d.length*3/5), Duration: d.randomDuration(d.length/20, d.length/5)}
 	d.zone = zoneName(d.rng.IntN(d.topology.Zones))
-	draws := faultDraws
+	draws := drawFuncs
 	if d.topology.Share && d.topology.Controllers > 1 {
-		draws = slices.Concat(faultDraws, peerFaultDraws)
+		draws = slices.Concat(drawFuncs, peerDrawFuncs)
 	}
 	draws[d.rng.IntN(len(draws))](d, f)
 	return f
 }
 
 // between draws a duration, in whole milliseconds.
-func (d *drawer) between(low, high time.Duration) scenario.Duration {
+func (d *faultSampler) randomDuration(low, high time.Duration) scenario.Duration {
 	drawn := low + time.Duration(d.rng.Float64()*float64(high-low))
 	return scenario.Duration(drawn.Round(time.Millisecond))
 }
 
 // fraction draws a number from low up to low+width.
-func (d *drawer) fraction(low, width float64) float64 { return low + width*d.rng.Float64() }
+func (d *faultSampler) randomFraction(low, width float64) float64 { return low + width*d.rng.Float64() }
 
 // one draws a part of a kind.
-func (d *drawer) one(kind componentKind) []string {
+func (d *faultSampler) randomName(kind componentKind) []string {
 	names := d.topology.namesOfKind(kind)
 	return []string{names[d.rng.IntN(len(names))]}
 }
 
 // chance is true once in n draws.
-func (d *drawer) chance(n int) bool { return d.rng.IntN(n) == 0 }
+func (d *faultSampler) oneIn(n int) bool { return d.rng.IntN(n) == 0 }
--- a/internal/sim/cluster/draw_faults.go
+++ b/internal/sim/cluster/draw_faults.go
@@ -20,7 +20,7 @@
 )
 
 // drawZonePartition separates the controllers of a zone from the exchanges of all other zones.
-func drawZonePartition(d *drawer, f *Fault) {
+func drawZonePartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionZone
 	f.From = []string{d.zone}
@@ -34,61 +34,61 @@
 	}
 }
 
-func drawOneWayToExchange(d *drawer, f *Fault) {
+func drawOneWayToExchange(d *faultSampler, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(kindController)
-	f.To = d.one(kindExchange)
+	f.From = d.randomName(kindController)
+	f.To = d.randomName(kindExchange)
 }
 
-func drawOneWayFromExchange(d *drawer, f *Fault) {
+func drawOneWayFromExchange(d *faultSampler, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(kindExchange)
+	f.From = d.randomName(kindExchange)
 	f.To = []string{allControllers}
 }
 
-func drawZoneDelay(d *drawer, f *Fault) {
+func drawZoneDelay(d *faultSampler, f *Fault) {
 	f.Kind = FaultDelay
 	f.From = []string{d.zone}
 	f.To = []string{allExchanges}
-	f.Latency = d.between(10*time.Millisecond, 400*time.Millisecond)
-	f.Jitter = d.between(0, 50*time.Millisecond)
+	f.Latency = d.randomDuration(10*time.Millisecond, 400*time.Millisecond)
+	f.Jitter = d.randomDuration(0, 50*time.Millisecond)
 }
 
-func drawExchangeReset(d *drawer, f *Fault) {
+func drawExchangeReset(d *faultSampler, f *Fault) {
 	f.Kind = FaultConnectionReset
-	f.From = d.one(kindExchange)
+	f.From = d.randomName(kindExchange)
 	f.To = []string{allControllers}
 	f.Duration = 0
 }
 
-func drawHalfOpenExchange(d *drawer, f *Fault) {
+func drawHalfOpenExchange(d *faultSampler, f *Fault) {
 	f.Kind = FaultHalfOpen
 	f.From = []string{allControllers}
-	f.To = d.one(kindExchange)
+	f.To = d.randomName(kindExchange)
 }
 
-func drawBandwidthLimit(d *drawer, f *Fault) {
+func drawBandwidthLimit(d *faultSampler, f *Fault) {
 	f.Kind = FaultBandwidthLimit
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 	f.To = []string{allExchanges}
 	f.BytesPerSecond = 2000 + d.rng.IntN(20_000)
 }
 
-func drawDiscoveryLoss(d *drawer, f *Fault) {
+func drawDiscoveryLoss(d *faultSampler, f *Fault) {
 	f.Kind = FaultDatagramLoss
 	f.From = []string{allControllers}
 	f.To = []string{discoveryName}
-	f.Fraction = d.fraction(0.2, 0.7)
+	f.Fraction = d.randomFraction(0.2, 0.7)
 }
 
-func drawDiscoveryReorder(d *drawer, f *Fault) {
+func drawDiscoveryReorder(d *faultSampler, f *Fault) {
 	f.Kind = FaultReorder
 	f.From = []string{allControllers}
 	f.To = []string{discoveryName}
-	f.Jitter = d.between(200*time.Millisecond, time.Second)
+	f.Jitter = d.randomDuration(200*time.Millisecond, time.Second)
 }
 
-func drawDiscoveryPartition(d *drawer, f *Fault) {
+func drawDiscoveryPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionDiscovery
 	f.From = []string{d.zone}
@@ -96,58 +96,58 @@
 }
 
 // drawAgentPartition separates an agent from the store, or from the controllers of its zone.
-func drawAgentPartition(d *drawer, f *Fault) {
+func drawAgentPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionAgent
-	f.From = d.one(kindAgent)
+	f.From = d.randomName(kindAgent)
 	f.To = []string{storeName}
-	if d.chance(2) {
+	if d.oneIn(2) {
 		f.To = []string{zoneName(d.topology.zoneOf(f.From[0]))}
 	}
 }
 
-func drawPause(d *drawer, f *Fault) {
+func drawPause(d *faultSampler, f *Fault) {
 	f.Kind = FaultPause
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 }
 
-func drawKillOrTerminate(d *drawer, f *Fault) {
+func drawKillOrTerminate(d *faultSampler, f *Fault) {
 	f.Kind = FaultKill
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 	f.Duration = 0
-	if d.chance(4) {
+	if d.oneIn(4) {
 		f.Kind = FaultTerminate
 	}
 }
 
-func drawSlowdown(d *drawer, f *Fault) {
+func drawSlowdown(d *faultSampler, f *Fault) {
 	f.Kind = FaultSlowdown
-	f.From = d.one(kindExchange)
-	f.Factor = d.fraction(2, 4)
+	f.From = d.randomName(kindExchange)
+	f.Factor = d.randomFraction(2, 4)
 }
 
-func drawHang(d *drawer, f *Fault) {
+func drawHang(d *faultSampler, f *Fault) {
 	f.Kind = FaultHang
-	f.From = d.one(kindExchange)
+	f.From = d.randomName(kindExchange)
 }
 
-func drawCrashOrReplace(d *drawer, f *Fault) {
+func drawCrashOrReplace(d *faultSampler, f *Fault) {
 	f.Kind = FaultCrash
-	f.From = d.one(kindExchange)
-	if d.chance(2) {
+	f.From = d.randomName(kindExchange)
+	if d.oneIn(2) {
 		f.Kind = FaultReplace
-		f.Duration = d.between(2500*time.Millisecond, 4*time.Second)
+		f.Duration = d.randomDuration(2500*time.Millisecond, 4*time.Second)
 	}
 }
 
-func drawDroppedCalls(d *drawer, f *Fault) {
+func drawDroppedCalls(d *faultSampler, f *Fault) {
 	f.Kind = FaultDropCalls
-	f.From = d.one(kindExchange)
-	f.Fraction = d.fraction(0.2, 0.5)
+	f.From = d.randomName(kindExchange)
+	f.Fraction = d.randomFraction(0.2, 0.5)
 	f.Duration = 0
 }
 
-func drawStoreFault(d *drawer, f *Fault) {
+func drawStoreFault(d *faultSampler, f *Fault) {
 	f.Kind = storeFaults[d.rng.IntN(len(storeFaults))]
 	f.From = []string{storeName}
 	if slices.Contains(instantFaults, f.Kind) {
@@ -155,19 +155,19 @@
 	}
 }
 
-func drawDiscoveryDuplication(d *drawer, f *Fault) {
+func drawDiscoveryDuplication(d *faultSampler, f *Fault) {
 	f.Kind = FaultDatagramDuplication
 	f.From = []string{allControllers}
 	f.To = []string{discoveryName}
-	f.Fraction = d.fraction(0.3, 0.6)
+	f.Fraction = d.randomFraction(0.3, 0.6)
 }
 
-func drawDiskFull(d *drawer, f *Fault) {
+func drawDiskFull(d *faultSampler, f *Fault) {
 	f.Kind = FaultDiskFull
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 }
 
-func drawPeerLoss(_ *drawer, f *Fault) {
+func drawPeerLoss(_ *faultSampler, f *Fault) {
 	f.Kind = FaultDatagramLoss
 	f.From = []string{allControllers}
 	f.To = []string{allControllers}
@@ -175,7 +175,7 @@
 }
 
 // drawPeerPartition separates the controllers of even numbers from those of odd numbers.
-func drawPeerPartition(d *drawer, f *Fault) {
+func drawPeerPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionHalf
 	for i, name := range d.topology.namesOfKind(kindController) {
@@ -187,28 +187,28 @@
 	}
 }
 
-func drawPeerReorder(d *drawer, f *Fault) {
+func drawPeerReorder(d *faultSampler, f *Fault) {
 	f.Kind = FaultReorder
 	f.From = []string{allControllers}
 	f.To = []string{allControllers}
-	f.Jitter = d.between(200*time.Millisecond, 2*time.Second)
+	f.Jitter = d.randomDuration(200*time.Millisecond, 2*time.Second)
 }
 
-func drawPeerOneWayPartition(d *drawer, f *Fault) {
+func drawPeerOneWayPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultOneWayPartition
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 	f.To = []string{allControllers}
 }
 
-func drawPeerDuplication(_ *drawer, f *Fault) {
+func drawPeerDuplication(_ *faultSampler, f *Fault) {
 	f.Kind = FaultDatagramDuplication
 	f.From = []string{allControllers}
 	f.To = []string{allControllers}
 	f.Fraction = 0.5
 }
 
-func drawByzantinePeer(d *drawer, f *Fault) {
+func drawByzantinePeer(d *faultSampler, f *Fault) {
 	f.Kind = FaultByzantinePeer
-	f.From = d.one(kindController)
+	f.From = d.randomName(kindController)
 	f.Fraction = float64(d.rng.IntN(2))
 }
--- a/internal/sim/cluster/exchange_slot.go
+++ b/internal/sim/cluster/exchange_slot.go
@@ -173,7 +173,7 @@
 	}
 	r.monitor.publish(update, func() {
 		for _, c := range r.controllers {
-			c.names.Set(r.endpoints(c)...)
+			c.nameService.Set(r.endpoints(c)...)
 		}
 	})
 }
--- a/internal/sim/cluster/inject.go
+++ b/internal/sim/cluster/inject.go
@@ -56,15 +56,15 @@
 // injectExchangeFault injects a fault into an exchange.
 func (r *Run) injectExchangeFault(ctx context.Context, f *Fault, s *exchangeSlot) {
 	server, _, _ := s.current()
-	during := f.Duration.D()
+	duration := f.Duration.D()
 	switch f.Kind {
 	case FaultSlowdown:
 		server.Do(func(x *exchange.Exchange, _ exchange.Time) { x.SetSlowdown(f.Factor) })
-		pause(ctx, during)
+		pause(ctx, duration)
 		server.Do(func(x *exchange.Exchange, _ exchange.Time) { x.SetSlowdown(1) })
 	case FaultHang:
 		server.Do(func(x *exchange.Exchange, now exchange.Time) { x.SetHung(now, true) })
-		pause(ctx, during)
+		pause(ctx, duration)
 		server.Do(func(x *exchange.Exchange, now exchange.Time) { x.SetHung(now, false) })
 	case FaultDropCalls:
 		server.Do(func(x *exchange.Exchange, now exchange.Time) {
--- a/internal/sim/cluster/inject_path.go
+++ b/internal/sim/cluster/inject_path.go
@@ -10,7 +10,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.proxies = append(r.proxies, p)
-	for f := range r.activePaths {
+	for f := range r.activePathFaults {
 		r.applyLocked(p, f, true)
 	}
 }
@@ -33,9 +33,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if active {
-		r.activePaths[f] = true
+		r.activePathFaults[f] = true
 	} else {
-		delete(r.activePaths, f)
+		delete(r.activePathFaults, f)
 	}
 	for _, p := range r.proxies {
 		r.applyLocked(p, f, active)
--- a/internal/sim/cluster/inject_store.go
+++ b/internal/sim/cluster/inject_store.go
@@ -13,18 +13,18 @@
 
 // injectStoreFault injects a fault into the store.
 func (r *Run) injectStoreFault(ctx context.Context, f *Fault) {
-	during := func(set func(active bool)) {
+	applyForDuration := func(set func(active bool)) {
 		set(true)
 		pause(ctx, f.Duration.D())
 		set(false)
 	}
 	switch f.Kind {
 	case FaultWatchStall:
-		during(r.etcd.StallWatches)
+		applyForDuration(r.etcd.StallWatches)
 	case FaultNoLeader:
-		during(r.etcd.SetNoLeader)
+		applyForDuration(r.etcd.SetNoLeader)
 	case FaultKeepAliveLoss:
-		during(r.etcd.IgnoreKeepAlives)
+		applyForDuration(r.etcd.IgnoreKeepAlives)
 	case FaultStaleReads:
 		r.etcd.SetStaleReads(staleRevisions)
 		pause(ctx, f.Duration.D())
--- a/internal/sim/cluster/monitor.go
+++ b/internal/sim/cluster/monitor.go
@@ -18,7 +18,7 @@
 	checker           *invariant.Checker
 	startTime         time.Time
 	lastEventTime     invariant.Time
-	closedTo          map[string]map[string]bool // by controller: exchanges that it was notified are draining or gone
+	closedExchanges   map[string]map[string]bool // by controller: exchanges that it was notified are draining or gone
 	published         map[uint32]availability    // by serial number
 	serial            uint32
 	unreadableStreams int // streams that could not be parsed to their end
@@ -35,10 +35,10 @@
 	limits := invariant.DefaultLimits()
 	limits.Slack = clockSlack
 	return &monitor{
-		startTime: startTime,
-		checker:   invariant.New(limits),
-		closedTo:  make(map[string]map[string]bool),
-		published: make(map[uint32]availability),
+		startTime:       startTime,
+		checker:         invariant.New(limits),
+		closedExchanges: make(map[string]map[string]bool),
+		published:       make(map[uint32]availability),
 	}
 }
 
@@ -69,17 +69,17 @@
 }
 
 // restart sets the clock to zero as calls begin.
-func (m *monitor) restart(startTime time.Time) {
+func (m *monitor) setStartTime(startTime time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.startTime = startTime
 }
 
-// forgetController forgets what a controller was notified of, because it starts again.
-func (m *monitor) forgetController(name string) {
+// clearNotifications forgets what a controller was notified of, because it starts again.
+func (m *monitor) clearNotifications(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.closedTo, name)
+	delete(m.closedExchanges, name)
 }
 
 // observeDiscovery records an answer of discovery as it reaches a controller.
@@ -94,10 +94,10 @@
 	if !ok {
 		return
 	}
-	closed := m.closedTo[controller]
+	closed := m.closedExchanges[controller]
 	if closed == nil {
 		closed = make(map[string]bool)
-		m.closedTo[controller] = closed
+		m.closedExchanges[controller] = closed
 	}
 	for _, past := range m.published {
 		for id := range past {
--- a/internal/sim/cluster/parentwatch.go
+++ b/internal/sim/cluster/parentwatch.go
@@ -44,15 +44,15 @@
 // awaitEnd waits until the process or the pipe ends, and kills the process in the latter case.
 func awaitEnd(pid, process, pipe int) error {
 	for {
-		polled := []unix.PollFd{
+		fds := []unix.PollFd{
 			{Fd: int32(process), Events: unix.POLLIN},
 			{Fd: int32(pipe), Events: unix.POLLIN},
 		}
-		if _, err := unix.Poll(polled, -1); err != nil && !errors.Is(err, unix.EINTR) {
+		if _, err := unix.Poll(fds, -1); err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("hold %d: %w", pid, err)
 		}
-		processEnded := polled[0].Revents != 0
-		pipeEnded := polled[1].Revents&(unix.POLLHUP|unix.POLLERR) != 0
+		processEnded := fds[0].Revents != 0
+		pipeEnded := fds[1].Revents&(unix.POLLHUP|unix.POLLERR) != 0
 		switch {
 		case processEnded:
 			return nil
--- a/internal/sim/cluster/play.go
+++ b/internal/sim/cluster/play.go
@@ -21,15 +21,15 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.startTime = time.Now()
-	r.monitor.restart(r.startTime)
+	r.monitor.setStartTime(r.startTime)
 	loadDone := make(chan error, 1)
 	go func() { loadDone <- r.load.Run(ctx) }()
-	var planned sync.WaitGroup
+	var scheduled sync.WaitGroup
 	for _, f := range r.options.Schedule.Faults {
-		planned.Go(func() { r.inject(ctx, f) })
+		scheduled.Go(func() { r.inject(ctx, f) })
 	}
 	for _, c := range r.options.Conditions {
-		planned.Go(func() { r.checkCondition(ctx, c) })
+		scheduled.Go(func() { r.checkCondition(ctx, c) })
 	}
 	observing, stopObserving := context.WithCancel(ctx)
 	defer stopObserving()
@@ -43,7 +43,7 @@
 		}
 	})
 	err := <-loadDone
-	planned.Wait()
+	scheduled.Wait()
 	stopObserving()
 	observers.Wait()
 	if err != nil {
@@ -137,7 +137,7 @@
 // awaitRestart waits until a controller that ended serves again, and then sends calls to it.
 func (r *Run) awaitRestart(ctx context.Context, c *controller) {
 	r.load.Pause(c.number, true)
-	r.monitor.forgetController(c.name)
+	r.monitor.clearNotifications(c.name)
 	start := time.Now()
 	for !c.isServing() {
 		if time.Since(start) > startTimeout {
--- a/internal/sim/cluster/process.go
+++ b/internal/sim/cluster/process.go
@@ -27,8 +27,8 @@
 
 // hasEnded reports whether the process has ended.
 func (p *process) hasEnded() bool {
-	polled := []unix.PollFd{{Fd: int32(p.descriptor), Events: unix.POLLIN}}
-	n, err := unix.Poll(polled, 0)
+	fds := []unix.PollFd{{Fd: int32(p.descriptor), Events: unix.POLLIN}}
+	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
--- a/internal/sim/cluster/pump.go
+++ b/internal/sim/cluster/pump.go
@@ -12,12 +12,12 @@
 	conn      *proxiedConn
 	direction Direction
 	to        net.Conn
-	in        <-chan piece
+	in        <-chan chunk
 	observe   func([]byte)
 	busyUntil time.Time // a limited bandwidth is in use until then
 }
 
-// run forwards pieces until either side ends.
+// run forwards chunks until either side ends.
 func (p *pump) run() {
 	for {
 		select {
@@ -31,8 +31,8 @@
 	}
 }
 
-// awaitDue waits until the impairment lets a piece pass. It reports false if the connection ends before.
-func (p *pump) awaitDue(next *piece) bool {
+// awaitDue waits until the impairment lets a chunk pass. It reports false if the connection ends before.
+func (p *pump) awaitDue(next *chunk) bool {
 	for {
 		impairment, changed := p.conn.proxy.impairment(p.direction)
 		due := next.readAt.Add(impairment.Delay)
@@ -41,7 +41,7 @@
 		}
 		wait := time.Until(due)
 		if !impairment.Blocked && wait <= 0 {
-			p.occupy(len(next.data), impairment.BytesPerSecond)
+			p.reserveBandwidth(len(next.data), impairment.BytesPerSecond)
 			return true
 		}
 		var timer <-chan time.Time
@@ -57,15 +57,15 @@
 	}
 }
 
-// occupy reserves the bandwidth for a number of bytes; a bandwidth of 0 is unlimited.
-func (p *pump) occupy(bytes, bytesPerSecond int) {
+// reserveBandwidth reserves the bandwidth for a number of bytes; a bandwidth of 0 is unlimited.
+func (p *pump) reserveBandwidth(bytes, bytesPerSecond int) {
 	if bytesPerSecond > 0 {
 		p.busyUntil = time.Now().Add(time.Duration(bytes) * time.Second / time.Duration(bytesPerSecond))
 	}
 }
 
-// forward writes a piece. It reports false if the connection has ended.
-func (p *pump) forward(next *piece) bool {
+// forward writes a chunk. It reports false if the connection has ended.
+func (p *pump) forward(next *chunk) bool {
 	if len(next.data) > 0 {
 		p.observe(next.data)
 		if _, err := p.to.Write(next.data); err != nil {
--- a/internal/sim/cluster/run.go
+++ b/internal/sim/cluster/run.go
@@ -51,12 +51,12 @@
 
 	outMu sync.Mutex // of options.Out
 
-	mu          sync.Mutex
-	proxies     []proxy
-	activePaths map[*Fault]bool // faults that are active on paths
-	injected    []InjectedFault
-	violations  []Violation // other than those of the monitor
-	samples     []Sample
+	mu               sync.Mutex
+	proxies          []proxy
+	activePathFaults map[*Fault]bool // faults that are active on paths
+	injected         []InjectedFault
+	violations       []Violation // other than those of the monitor
+	samples          []Sample
 }
 
 // Streams of the random generators of a run; those of proxies are added to the number of a controller or of a pair.
@@ -111,11 +111,11 @@
 
 func newRun(o Options) *Run {
 	r := &Run{
-		options:     o,
-		scenario:    *o.Scenario,
-		rng:         rand.New(rand.NewPCG(o.Schedule.Seed, runStream)),
-		activePaths: make(map[*Fault]bool),
-		startTime:   time.Now(),
+		options:          o,
+		scenario:         *o.Scenario,
+		rng:              rand.New(rand.NewPCG(o.Schedule.Seed, runStream)),
+		activePathFaults: make(map[*Fault]bool),
+		startTime:        time.Now(),
 	}
 	r.monitor = newMonitor(r.startTime)
 	r.ports.Host = loopback.RandomHost()
@@ -176,8 +176,8 @@
 		p.close()
 	}
 	for _, c := range r.controllers {
-		if c.names != nil {
-			c.names.Close()
+		if c.nameService != nil {
+			c.nameService.Close()
 		}
 		if p := c.currentProcess(); p != nil {
 			p.close()
--- a/internal/sim/cluster/shrink.go
+++ b/internal/sim/cluster/shrink.go
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	for size := (len(faults) + 1) / 2; size >= 1; {
-		smaller, err := k.removeParts(ctx, faults, size)
+		smaller, err := k.removeChunks(ctx, faults, size)
 		if err != nil {
 			return nil, err
 		}
@@ -36,8 +36,8 @@
 	fails func(*Schedule) (bool, error)
 }
 
-// removeParts removes each part of size faults without which the schedule still fails.
-func (k *shrinker) removeParts(ctx context.Context, faults []*Fault, size int) ([]*Fault, error) {
+// removeChunks removes each part of size faults without which the schedule still fails.
+func (k *shrinker) removeChunks(ctx context.Context, faults []*Fault, size int) ([]*Fault, error) {
 	for from := 0; from < len(faults); {
 		rest := slices.Delete(slices.Clone(faults), from, min(from+size, len(faults)))
 		failed, err := k.failsWith(ctx, rest)
--- a/internal/sim/cluster/sip_observer.go
+++ b/internal/sim/cluster/sip_observer.go
@@ -39,11 +39,11 @@
 		return
 	}
 	if data == nil {
-		o.end()
+		o.recordBroken()
 		return
 	}
 	err := o.readers[direction].Feed(data, func(m *sip.Message) bool {
-		o.take(direction, m)
+		o.recordMessage(direction, m)
 		return true
 	})
 	if err != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// end records the open attempts as broken.
-func (o *sipObserver) end() {
+// recordBroken records the open attempts as broken.
+func (o *sipObserver) recordBroken() {
 	o.ended = [directions]bool{true, true}
 	for a := range o.open {
 		o.monitor.record(invariant.Event{
@@ -62,8 +62,8 @@
 	}
 }
 
-// take records a message that concerns an attempt.
-func (o *sipObserver) take(direction Direction, m *sip.Message) {
+// recordMessage records a message that concerns an attempt.
+func (o *sipObserver) recordMessage(direction Direction, m *sip.Message) {
 	event := invariant.Event{Controller: o.controller, Call: m.CallID, Server: o.server, Attempt: m.CSeq - 1}
 	attempt := exchange.Attempt{Call: event.Call, Number: event.Attempt}
 	isInviteResponse := direction == Backward && m.Method == "" && m.CSeqMethod == "INVITE"
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -48,7 +48,7 @@
 	}
 	r.publishEndpoints()
 	for _, c := range r.controllers {
-		if err := r.request(c); err != nil {
+		if err := r.requestInstance(c); err != nil {
 			return err
 		}
 	}
@@ -116,7 +116,7 @@
 // prepareController makes the addresses of a controller, its discovery and the proxies on its paths.
 func (r *Run) prepareController(c *controller) error {
 	var err error
-	if c.names, err = loopback.ListenNameService("127.0.0.1:0"); err != nil {
+	if c.nameService, err = loopback.ListenNameService("127.0.0.1:0"); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(r.options.Schedule.Seed, uint64(discoveryProxyStream+c.number)))
@@ -125,7 +125,7 @@
 			r.monitor.observeDiscovery(c.name, data)
 		}
 	}
-	c.discoveryProxy, err = newDatagramProxy(c.name, discoveryName, c.names.Addr(), rng, observe)
+	c.discoveryProxy, err = newDatagramProxy(c.name, discoveryName, c.nameService.Addr(), rng, observe)
 	if err != nil {
 		return err
 	}
--- a/internal/sim/cluster/stream_proxy.go
+++ b/internal/sim/cluster/stream_proxy.go
@@ -10,8 +10,8 @@
 
 // Bounds of a stream proxy.
 const (
-	maxQueuedPieces  = 512 // in one direction of a connection
-	pieceBytes       = 8 << 10
+	maxQueuedChunks  = 512 // in one direction of a connection
+	chunkBytes       = 8 << 10
 	proxyDialTimeout = 2 * time.Second
 	// maxHalfOpen is how long a connection stays half-open before the proxy closes it.
 	maxHalfOpen = time.Minute
@@ -130,8 +130,8 @@
 		return
 	}
 	c := newProxiedConn(s)
-	defer c.end()
-	requests := make(chan piece, maxQueuedPieces)
+	defer c.cancel()
+	requests := make(chan chunk, maxQueuedChunks)
 	s.goroutines.Go(func() {
 		c.read(client, requests, func(data []byte) { c.observe(Forward, data) })
 	})
@@ -149,10 +149,10 @@
 	if !s.register(server) {
 		return
 	}
-	responses := make(chan piece, maxQueuedPieces)
+	responses := make(chan chunk, maxQueuedChunks)
 	s.goroutines.Go(func() { c.read(server, responses, func([]byte) {}) })
 	s.goroutines.Go(func() {
-		defer c.end()
+		defer c.cancel()
 		forward := pump{conn: c, direction: Forward, to: server, in: requests, observe: func([]byte) {}}
 		forward.run()
 	})
@@ -171,12 +171,12 @@
 	proxy   *streamProxy
 	observe observer
 	ctx     context.Context // done when one side has ended, or the proxy is closed
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 }
 
 func newProxiedConn(s *streamProxy) *proxiedConn {
 	c := &proxiedConn{proxy: s, observe: func(Direction, []byte) {}}
-	c.ctx, c.end = context.WithCancel(s.ctx)
+	c.ctx, c.cancel = context.WithCancel(s.ctx)
 	if s.newObserver != nil {
 		c.observe = s.newObserver()
 	}
@@ -201,17 +201,17 @@
 	}
 }
 
-// A piece is the result of one read of a stream.
-type piece struct {
+// A chunk is the result of one read of a stream.
+type chunk struct {
 	data   []byte
 	readAt time.Time
 	err    error // the stream ended with it
 }
 
 // read queues what arrives until the stream ends. A full queue blocks the sender, as a network does.
-func (c *proxiedConn) read(from net.Conn, queue chan<- piece, observe func([]byte)) {
+func (c *proxiedConn) read(from net.Conn, queue chan<- chunk, observe func([]byte)) {
 	for {
-		buffer := make([]byte, pieceBytes)
+		buffer := make([]byte, chunkBytes)
 		n, err := from.Read(buffer)
 		if n > 0 {
 			observe(buffer[:n])
@@ -219,7 +219,7 @@
 			observe(nil)
 		}
 		select {
-		case queue <- piece{buffer[:n], time.Now(), err}:
+		case queue <- chunk{buffer[:n], time.Now(), err}:
 		case <-c.ctx.Done():
 			return
 		}
