--- a/internal/sim/cluster/fault.go
+++ b/internal/sim/cluster/fault.go
@@ -9,20 +9,20 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A Fault is one step of a schedule. Its times count from when all controllers serve and calls begin, so that a
-// schedule means the same on a slow machine.
+// A Fault is one step of a schedule. Its times count from the moment when all controllers serve and calls begin, so
+// that a schedule means the same on a slow machine.
 type Fault struct {
 	At       scenario.Duration `toml:"at" json:"at"`
 	Duration scenario.Duration `toml:"for" json:"for,omitempty"`
 	Kind     FaultKind         `toml:"kind" json:"kind"`
-	// Name says in reports what a partition separates: a zone, the directory, an agent or half of the controllers.
+	// Name describes in results what a partition separates: a zone, the directory, an agent or half of the controllers.
 	Name string `toml:"name,omitempty" json:"name,omitempty"`
-	// From and To are patterns of Topology.Match. To is empty unless the fault is on a network path.
+	// From and To are patterns as in Topology.Match. To is used by faults of network paths only.
 	From    []string          `toml:"from" json:"from"`
 	To      []string          `toml:"to,omitempty" json:"to,omitempty"`
 	Latency scenario.Duration `toml:"by,omitempty" json:"by,omitempty"`
 	Jitter  scenario.Duration `toml:"spread,omitempty" json:"spread,omitempty"`
-	// Fraction of the datagrams or calls that the fault concerns, from 0 to 1.
+	// Fraction is the fraction of datagrams or calls that the fault affects, from 0 to 1.
 	Fraction       float64 `toml:"share,omitempty" json:"share,omitempty"`
 	Factor         float64 `toml:"factor,omitempty" json:"factor,omitempty"`
 	BytesPerSecond int     `toml:"rate,omitempty" json:"rate,omitempty"`
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// check returns why the fault cannot be injected into a topology.
+// check returns an error if the fault cannot be injected into a topology.
 func (f *Fault) check(t *Topology) error {
 	from, err := t.Match(f.From)
 	if err != nil {
@@ -59,23 +59,23 @@
 	}
 	for _, name := range from {
 		if !slices.Contains(faultsOf(name), f.Kind) {
-			return fmt.Errorf("%s cannot have the fault %s", name, f.Kind)
+			return fmt.Errorf("%s does not support the fault %s", name, f.Kind)
 		}
 	}
 	return nil
 }
 
-// checkParameters returns which parameter of the kind is missing or out of range.
+// checkParameters returns an error if the kind is unknown, or a parameter is missing or out of range.
 func (f *Fault) checkParameters(t *Topology) error {
 	if _, ok := faultKeys[f.Kind]; !ok {
-		return fmt.Errorf("kind is none of %s", allFaultKeys())
+		return fmt.Errorf("kind must be one of %s", allFaultKeys())
 	}
 	hasNegative := f.At < 0 || f.Duration < 0 || f.Latency < 0 || f.Jitter < 0 || f.BytesPerSecond < 0
 	switch {
 	case hasNegative:
 		return errors.New("times and rate must not be negative")
 	case f.Fraction < 0 || f.Fraction > 1:
-		return errors.New("share is between 0 and 1")
+		return errors.New("share must be between 0 and 1")
 	case f.Kind.needsFraction() && f.Fraction == 0:
 		return errors.New("share is missing")
 	case f.Kind == FaultBandwidthLimit && f.BytesPerSecond == 0:
@@ -83,26 +83,26 @@
 	case f.Kind == FaultSlowdown && f.Factor <= 0:
 		return errors.New("factor is missing")
 	case f.Duration == 0 && !f.Kind.isInstant():
-		return errors.New("for is missing: nothing would end the fault")
+		return errors.New("for is missing: the fault needs a duration")
 	case f.Kind == FaultByzantinePeer && !t.Share:
-		return errors.New("the controllers do not take part in overload control")
+		return errors.New("overload control between the controllers is off")
 	}
 	return nil
 }
 
-// checkPath returns why there is no path for the fault.
+// checkPath returns an error if the topology has no network path for the fault.
 func (f *Fault) checkPath(t *Topology, from []string) error {
 	to, err := t.Match(f.To)
 	if err != nil {
 		return fmt.Errorf("to: %w", err)
 	}
 	if !t.hasPath(from, to) {
-		return fmt.Errorf("there is no path between %s and %s", strings.Join(f.From, ","), strings.Join(f.To, ","))
+		return fmt.Errorf("no network path between %s and %s", strings.Join(f.From, ","), strings.Join(f.To, ","))
 	}
 	return nil
 }
 
-// faultsOf lists the kinds of faults that a part itself can have.
+// faultsOf returns the kinds of faults that can be injected into a component, as opposed to its network paths.
 func faultsOf(name string) []FaultKind {
 	if name == discoveryName {
 		return nil
--- a/internal/sim/cluster/fault_kind.go
+++ b/internal/sim/cluster/fault_kind.go
@@ -6,71 +6,71 @@
 	"strings"
 )
 
-// A FaultKind says what goes wrong. Its text is the value of the key "kind" in schedule files and results.
+// A FaultKind is a kind of fault. Its text is the value of the key "kind" in schedule files and results.
 type FaultKind int
 
-// Kinds of faults, by what they concern.
+// Kinds of faults, grouped by target.
 const (
 	// Faults of the network paths between From and To.
 
-	// FaultPartition drops everything both ways; connections stay open.
+	// FaultPartition blocks all traffic in both directions; connections stay open.
 	FaultPartition FaultKind = iota + 1
-	// FaultOneWayPartition drops everything from From to To.
+	// FaultOneWayPartition blocks all traffic from From to To.
 	FaultOneWayPartition
-	// FaultDelay adds Latency both ways, and a random part of Jitter.
+	// FaultDelay adds Latency in both directions and, for datagrams, a random delay of up to Jitter.
 	FaultDelay
 	// FaultDatagramLoss drops Fraction of the datagrams.
 	FaultDatagramLoss
 	// FaultDatagramDuplication delivers Fraction of the datagrams twice.
 	FaultDatagramDuplication
-	// FaultReorder delays each datagram by a random part of Jitter.
+	// FaultReorder delays each datagram by a random time of up to Jitter.
 	FaultReorder
 	// FaultConnectionReset resets the open connections; it has no duration.
 	FaultConnectionReset
-	// FaultHalfOpen accepts new connections and does not forward them.
+	// FaultHalfOpen accepts new connections without forwarding them.
 	FaultHalfOpen
 	// FaultBandwidthLimit limits streams to BytesPerSecond.
 	FaultBandwidthLimit
 
-	// Faults of the controllers, agents and exchanges that From names.
+	// Faults of the controllers, agents and exchanges that match From.
 
 	// FaultPause sends SIGSTOP, and SIGCONT after Duration.
 	FaultPause
-	// FaultKill sends SIGKILL; the agent starts a killed controller again.
+	// FaultKill sends SIGKILL; the agent restarts a killed controller.
 	FaultKill
-	// FaultTerminate sends SIGTERM; the agent starts the controller again.
+	// FaultTerminate sends SIGTERM; the agent restarts the controller.
 	FaultTerminate
-	// FaultDiskFull fails a controller's writes to files.
+	// FaultDiskFull makes a controller's writes to files fail.
 	FaultDiskFull
-	// FaultSlowdown makes the processing times of an exchange Factor times longer.
+	// FaultSlowdown multiplies the processing times of an exchange by Factor.
 	FaultSlowdown
-	// FaultHang has an exchange accept messages and not process them.
+	// FaultHang makes an exchange accept messages without processing them.
 	FaultHang
-	// FaultCrash ends an exchange; a cold one replaces it after Duration.
+	// FaultCrash ends an exchange; a cold one is started after Duration.
 	FaultCrash
-	// FaultReplace drains an exchange for Duration and ends it; a cold one starts at once.
+	// FaultReplace starts a cold exchange at once, drains the old one for Duration and then ends it.
 	FaultReplace
 	// FaultDropCalls drops Fraction of the established calls of an exchange.
 	FaultDropCalls
-	// FaultByzantinePeer sends forged, correctly signed reports under a controller's member number: that all
-	// servers are overloaded if Fraction is above 0, otherwise that none is.
+	// FaultByzantinePeer sends forged, correctly signed reports under a controller's member number. They say that
+	// all servers are overloaded if Fraction is above 0, and that none is otherwise.
 	FaultByzantinePeer
 
-	// Faults of the store, which is "etcd".
+	// Faults of the store, "etcd".
 
-	// FaultWatchStall withholds events from watches, without an error.
+	// FaultWatchStall withholds events from watches without an error.
 	FaultWatchStall
-	// FaultCompaction compacts the whole history.
+	// FaultCompaction compacts the whole history of revisions.
 	FaultCompaction
-	// FaultStaleReads answers serializable reads from staleRevisions ago.
+	// FaultStaleReads answers serializable reads from a state that is staleRevisions old.
 	FaultStaleReads
-	// FaultNoLeader fails requests.
+	// FaultNoLeader fails requests, as a cluster without a leader does.
 	FaultNoLeader
-	// FaultLostResponses loses the responses of the next writes, which take effect.
+	// FaultLostResponses loses the responses of the next lostResponses writes, which take effect.
 	FaultLostResponses
-	// FaultKeepAliveLoss ignores keep-alive requests of leases.
+	// FaultKeepAliveLoss ignores the keep-alive requests of leases.
 	FaultKeepAliveLoss
-	// FaultRestore goes back by one revision, as a restore of a backup into a new cluster does.
+	// FaultRestore goes back by one revision, as restoring a backup into a new cluster does.
 	FaultRestore
 )
 
@@ -106,7 +106,8 @@
 	FaultRestore:       "restore",
 }
 
-// The kinds by target. Draw picks from storeFaults by index: its order decides what a seed draws.
+// Kinds of faults by target. drawStoreFault picks from storeFaults by a random index, so its order affects what a seed
+// draws.
 var (
 	pathFaults = []FaultKind{
 		FaultPartition, FaultOneWayPartition, FaultDelay, FaultDatagramLoss, FaultDatagramDuplication,
@@ -121,10 +122,10 @@
 		FaultLostResponses, FaultKeepAliveLoss, FaultRestore,
 	}
 	controllerFaults = []FaultKind{FaultPause, FaultKill, FaultTerminate, FaultDiskFull, FaultByzantinePeer}
-	// An agent that terminates in order terminates its controllers: there is no FaultTerminate for it.
+	// Agents have no FaultTerminate: an agent that is terminated also terminates its controllers.
 	agentFaults    = []FaultKind{FaultPause, FaultKill}
 	exchangeFaults = []FaultKind{FaultSlowdown, FaultHang, FaultCrash, FaultReplace, FaultDropCalls}
-	// instantFaults have no duration.
+	// instantFaults are the kinds without a duration.
 	instantFaults = []FaultKind{
 		FaultConnectionReset, FaultKill, FaultTerminate, FaultDropCalls, FaultCompaction, FaultRestore,
 	}
@@ -142,7 +143,7 @@
 func (k FaultKind) MarshalText() ([]byte, error) {
 	key, ok := faultKeys[k]
 	if !ok {
-		return nil, fmt.Errorf("%v is no kind of fault", k)
+		return nil, fmt.Errorf("unknown kind of fault: %v", k)
 	}
 	return []byte(key), nil
 }
@@ -155,10 +156,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is none of %s", text, allFaultKeys())
+	return fmt.Errorf("kind %q is unknown, must be one of %s", text, allFaultKeys())
 }
 
-// allFaultKeys lists the keys of all kinds.
+// allFaultKeys returns the keys of all kinds, separated by commas.
 func allFaultKeys() string {
 	var keys []string
 	for _, kind := range slices.Concat(pathFaults, componentFaults, storeFaults) {
@@ -167,13 +168,13 @@
 	return strings.Join(keys, ", ")
 }
 
-// isOnPath reports whether the kind concerns network paths.
+// isOnPath reports whether faults of the kind affect network paths rather than components.
 func (k FaultKind) isOnPath() bool { return slices.Contains(pathFaults, k) }
 
 // isInstant reports whether the kind has no duration.
 func (k FaultKind) isInstant() bool { return slices.Contains(instantFaults, k) }
 
-// needsFraction reports whether the kind has no effect without a fraction.
+// needsFraction reports whether faults of the kind have no effect with a Fraction of 0.
 func (k FaultKind) needsFraction() bool {
 	return k == FaultDatagramLoss || k == FaultDatagramDuplication || k == FaultDropCalls
 }
--- a/internal/sim/cluster/schedule.go
+++ b/internal/sim/cluster/schedule.go
@@ -8,20 +8,20 @@
 	"github.com/BurntSushi/toml"
 )
 
-// A Schedule is the faults of a run. Load reads it from a file that Save wrote.
+// A Schedule has the faults of a run. LoadSchedule reads what Save writes.
 type Schedule struct {
-	// Seed is the seed that the schedule was drawn from; callers and proxies draw from it as well.
+	// Seed is the seed that the schedule was drawn from. Callers, exchanges and proxies are seeded with it as well.
 	Seed   uint64   `toml:"seed" json:"seed"`
 	Faults []*Fault `toml:"step" json:"step"`
 }
 
-// maxFaults bounds a schedule.
+// maxFaults is the maximum number of faults in a schedule.
 const maxFaults = 256
 
-// Check returns why the schedule cannot be played on a topology.
+// Check returns an error if the schedule cannot be played on a topology.
 func (s *Schedule) Check(t *Topology) error {
 	if len(s.Faults) > maxFaults {
-		return fmt.Errorf("schedule: %d steps, %d at most", len(s.Faults), maxFaults)
+		return fmt.Errorf("schedule: %d steps, at most %d are allowed", len(s.Faults), maxFaults)
 	}
 	for i, f := range s.Faults {
 		if err := f.check(t); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// LoadSchedule reads a schedule from a file. An unknown key or kind of fault is an error.
+// LoadSchedule reads a schedule from a TOML file. An unknown key or kind of fault is an error.
 func LoadSchedule(path string) (*Schedule, error) {
 	s := &Schedule{}
 	meta, err := toml.DecodeFile(path, s)
@@ -44,7 +44,7 @@
 	return s, nil
 }
 
-// Save writes the schedule to a file.
+// Save writes the schedule to a TOML file.
 func (s *Schedule) Save(path string) error {
 	w, err := os.Create(path)
 	if err != nil {
--- a/internal/sim/cluster/schedule_test.go
+++ b/internal/sim/cluster/schedule_test.go
@@ -56,22 +56,22 @@
 	if err := os.WriteFile(unknown, []byte("seed = 1\n[[step]]\nkind = \"melt\"\nfrom = [\"n0\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadSchedule(unknown); err == nil || !strings.Contains(err.Error(), `"melt" is none of cut`) {
+	if _, err := LoadSchedule(unknown); err == nil || !strings.Contains(err.Error(), `"melt" is unknown, must be one of cut`) {
 		t.Errorf("a file with an unknown kind of fault: %v", err)
 	}
 	for _, c := range []struct {
 		step Fault
 		want string
 	}{
-		{Fault{From: []string{"n0"}}, "none of cut"},
-		{Fault{Kind: FaultPartition, From: []string{"n9"}, To: []string{"x0"}, Duration: long}, `"n9" names nothing`},
-		{Fault{Kind: FaultPartition, From: []string{"n0"}, To: []string{"n1"}, Duration: long}, "there is no path between"},
+		{Fault{From: []string{"n0"}}, "must be one of cut"},
+		{Fault{Kind: FaultPartition, From: []string{"n9"}, To: []string{"x0"}, Duration: long}, `"n9" matches no component`},
+		{Fault{Kind: FaultPartition, From: []string{"n0"}, To: []string{"n1"}, Duration: long}, "no network path between"},
 		{Fault{Kind: FaultPartition, From: []string{"n0"}, To: []string{"x0"}}, "for is missing"},
 		{Fault{Kind: FaultDatagramLoss, From: []string{"n*"}, To: []string{"names"}, Duration: long}, "share is missing"},
 		{Fault{Kind: FaultBandwidthLimit, From: []string{"n*"}, To: []string{"x*"}, Duration: long}, "rate is missing"},
-		{Fault{Kind: FaultPause, From: []string{"x0"}, Duration: long}, "x0 cannot have the fault stop"},
-		{Fault{Kind: FaultHang, From: []string{"a0"}, Duration: long}, "a0 cannot have the fault hang"},
-		{Fault{Kind: FaultNoLeader, From: []string{"n0"}, Duration: long}, "n0 cannot have the fault no_leader"},
+		{Fault{Kind: FaultPause, From: []string{"x0"}, Duration: long}, "x0 does not support the fault stop"},
+		{Fault{Kind: FaultHang, From: []string{"a0"}, Duration: long}, "a0 does not support the fault hang"},
+		{Fault{Kind: FaultNoLeader, From: []string{"n0"}, Duration: long}, "n0 does not support the fault no_leader"},
 	} {
 		err := (&Schedule{Faults: []*Fault{&c.step}}).Check(top)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "step 1") {
--- a/internal/sim/cluster/topology.go
+++ b/internal/sim/cluster/topology.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// A Topology is the number of parts of each kind. Controllers are n0, n1 and so on, exchanges x0, agents a0, zones
-// z0; "names" is discovery and "etcd" the store, of which there is one for all. Part i of a kind is in zone i modulo
-// the number of zones, and a controller's agent is that of its zone.
+// A Topology gives the number of components of each kind. Controllers are named n0, n1 and so on, exchanges x0, x1,
+// agents a0, a1 and zones z0, z1. "names" is discovery and "etcd" is the store; there is one of each. Component i of a
+// kind is in zone i modulo the number of zones. The agent of a zone runs the controllers of the zone.
 type Topology struct {
 	Controllers, Exchanges, Zones int
-	// Share has the controllers take part in overload control, with a path between any two of them.
+	// Share enables overload control between the controllers, with a network path between any two of them.
 	Share bool `json:",omitempty"`
 }
 
-// componentKind is the kind of a part: the first letter of its name.
+// componentKind is the kind of a component: the first letter of its name.
 type componentKind byte
 
 const (
@@ -27,38 +27,38 @@
 	kindStore      componentKind = 'e'
 )
 
-// Names of the parts of which there is one.
+// Names of the components of which there is only one.
 const (
 	discoveryName = "names"
 	storeName     = "etcd"
 )
 
-// Bounds of what one machine can run.
+// Limits of what one machine can run.
 const (
 	maxControllers = 40
 	maxExchanges   = 32
 )
 
-// Check returns why the topology cannot be run.
+// Check returns an error if the topology cannot be run.
 func (t *Topology) Check() error {
 	switch {
 	case t.Controllers < 1 || t.Controllers > maxControllers:
-		return fmt.Errorf("cluster: %d controllers, 1 to %d can be run", t.Controllers, maxControllers)
+		return fmt.Errorf("cluster: %d controllers, must be 1 to %d", t.Controllers, maxControllers)
 	case t.Exchanges < 1 || t.Exchanges > maxExchanges:
-		return fmt.Errorf("cluster: %d exchanges, 1 to %d can be run", t.Exchanges, maxExchanges)
+		return fmt.Errorf("cluster: %d exchanges, must be 1 to %d", t.Exchanges, maxExchanges)
 	case t.Zones < 1 || t.Zones > t.Controllers:
-		return fmt.Errorf("cluster: %d zones, 1 to %d (one agent a zone, a controller each)", t.Zones, t.Controllers)
+		return fmt.Errorf("cluster: %d zones, must be 1 to %d (each with a controller)", t.Zones, t.Controllers)
 	}
 	return nil
 }
 
-// kindOf returns the kind of a part other than discovery.
+// kindOf returns the kind of a component other than discovery.
 func kindOf(name string) componentKind { return componentKind(name[0]) }
 
-// zoneName returns the name of a zone.
+// zoneName returns the name of the zone with the given number.
 func zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
-// zoneOf returns the zone of a part, or -1 for a part without a zone.
+// zoneOf returns the number of a component's zone, or -1 for a component without a zone.
 func (t *Topology) zoneOf(name string) int {
 	i, err := strconv.Atoi(name[1:])
 	if err != nil || !strings.Contains("nxa", name[:1]) {
@@ -67,7 +67,7 @@
 	return i % t.Zones
 }
 
-// namesOfKind returns the names of the parts of a kind.
+// namesOfKind returns the names of all components of a kind.
 func (t *Topology) namesOfKind(kind componentKind) []string {
 	count := 0
 	switch kind {
@@ -87,7 +87,7 @@
 	return names
 }
 
-// allNames returns the names of all parts.
+// allNames returns the names of all components.
 func (t *Topology) allNames() []string {
 	return slices.Concat(
 		t.namesOfKind(kindController),
@@ -97,8 +97,9 @@
 	)
 }
 
-// Match returns the sorted names of the parts that the patterns name. A pattern is a name, a zone, "n*" for all parts
-// of a kind, or "*" for all parts. A pattern that names nothing is an error.
+// Match returns the sorted names of the components that match any of the patterns. A pattern is the name of a component
+// or a zone, "n*" for all components of a kind (here controllers), or "*" for all components. A pattern without a match
+// is an error.
 func (t *Topology) Match(patterns []string) ([]string, error) {
 	all := t.allNames()
 	var names []string
@@ -110,17 +111,17 @@
 			}
 		}
 		if len(names) == count {
-			return nil, fmt.Errorf("%q names nothing here", pattern)
+			return nil, fmt.Errorf("%q matches no component", pattern)
 		}
 	}
 	if len(names) == 0 {
-		return nil, errors.New("nothing is named")
+		return nil, errors.New("no pattern is given")
 	}
 	slices.Sort(names)
 	return slices.Compact(names), nil
 }
 
-// matches reports whether a pattern names a part.
+// matches reports whether a pattern matches a component.
 func (t *Topology) matches(pattern, name string) bool {
 	switch {
 	case pattern == name, pattern == "*":
@@ -133,7 +134,7 @@
 	return false
 }
 
-// hasPath reports whether there is a network path between any two parts of two groups.
+// hasPath reports whether there is a network path between a component of one group and a component of the other.
 func (t *Topology) hasPath(from, to []string) bool {
 	for _, a := range from {
 		for _, b := range to {
@@ -145,7 +146,7 @@
 	return false
 }
 
-// connects reports whether part a sends requests to part b.
+// connects reports whether component a sends requests to component b.
 func (t *Topology) connects(a, b string) bool {
 	if a == discoveryName {
 		return false
