--- a/internal/sim/cluster/draw.go
+++ b/internal/sim/cluster/draw.go
@@ -9,11 +9,11 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// scheduleStream is the stream of the random generator that schedules are drawn from.
+// scheduleStream is the stream number of the random generator that schedules are drawn from.
 const scheduleStream = 16
 
-// DrawSchedule draws a schedule of count faults from a seed. All faults end within the first four fifths of length,
-// so that the last fifth is free for recovery.
+// DrawSchedule draws a schedule of count random faults from a seed. All faults end within the first four fifths of
+// length, so that the last fifth is left for recovery.
 func DrawSchedule(t *Topology, count int, length time.Duration, seed uint64) *Schedule {
 	d := &faultSampler{topology: t, length: length, rng: rand.New(rand.NewPCG(seed, scheduleStream))}
 	s := &Schedule{Seed: seed}
@@ -24,18 +24,19 @@
 	return s
 }
 
-// A faultSampler draws faults. The number and the order of its draws decide which schedule a seed gives.
+// A faultSampler draws random faults. The number and order of its draws determine the schedule of a seed, so changing
+// them changes the schedules of all seeds.
 type faultSampler struct {
 	topology *Topology
 	length   time.Duration
 	rng      *rand.Rand
-	zone     string // a zone that was drawn for the current fault
+	zone     string // drawn for the current fault
 }
 
-// A drawFunc completes a fault that has its times.
+// A drawFunc sets the kind and the parameters of a fault whose times have been drawn.
 type drawFunc func(d *faultSampler, f *Fault)
 
-// drawFuncs are the kinds of faults to pick from; the random generator picks by index.
+// drawFuncs has a function for each kind of fault to draw. One is picked by a random index: the order matters.
 var drawFuncs = []drawFunc{
 	drawZonePartition,
 	drawOneWayToExchange,
@@ -59,7 +60,7 @@
 	drawDiskFull,
 }
 
-// peerDrawFuncs are the faults between controllers, which come after drawFuncs if there are such paths.
+// peerDrawFuncs has functions for faults between controllers, which are appended to drawFuncs if there are such paths.
 var peerDrawFuncs = []drawFunc{
 	drawPeerLoss,
 	drawPeerPartition,
@@ -69,7 +70,7 @@
 	drawByzantinePeer,
 }
 
-// fault draws one fault.
+// randomFault draws a fault.
 func (d *faultSampler) randomFault() *Fault {
 	f := &Fault{At: d.randomDuration(0, d.length*3/5), Duration: d.randomDuration(d.length/20, d.length/5)}
 	d.zone = zoneName(d.rng.IntN(d.topology.Zones))
@@ -81,20 +82,20 @@
 	return f
 }
 
-// between draws a duration, in whole milliseconds.
+// randomDuration draws a duration between low and high, rounded to milliseconds.
 func (d *faultSampler) randomDuration(low, high time.Duration) scenario.Duration {
 	drawn := low + time.Duration(d.rng.Float64()*float64(high-low))
 	return scenario.Duration(drawn.Round(time.Millisecond))
 }
 
-// fraction draws a number from low up to low+width.
+// randomFraction draws a number in [low, low+width).
 func (d *faultSampler) randomFraction(low, width float64) float64 { return low + width*d.rng.Float64() }
 
-// one draws a part of a kind.
+// randomName draws a component of a kind and returns its name as the only element.
 func (d *faultSampler) randomName(kind componentKind) []string {
 	names := d.topology.namesOfKind(kind)
 	return []string{names[d.rng.IntN(len(names))]}
 }
 
-// chance is true once in n draws.
+// oneIn draws true with probability 1/n.
 func (d *faultSampler) oneIn(n int) bool { return d.rng.IntN(n) == 0 }
--- a/internal/sim/cluster/draw_faults.go
+++ b/internal/sim/cluster/draw_faults.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Patterns of all parts of a kind.
+// Patterns that match all components of a kind.
 const (
 	allControllers = "n*"
 	allExchanges   = "x*"
 )
 
-// Names of partitions in reports.
+// Names of partitions in schedules and results.
 const (
 	partitionZone      = "zone"
 	partitionDiscovery = "directory"
@@ -19,7 +19,8 @@
 	partitionHalf      = "half"
 )
 
-// drawZonePartition separates the controllers of a zone from the exchanges of all other zones.
+// drawZonePartition partitions the controllers of a zone from the exchanges of all other zones, or from all exchanges
+// if the other zones have none.
 func drawZonePartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionZone
@@ -95,7 +96,7 @@
 	f.To = []string{discoveryName}
 }
 
-// drawAgentPartition separates an agent from the store, or from the controllers of its zone.
+// drawAgentPartition partitions an agent from the store, or from the controllers of its zone.
 func drawAgentPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionAgent
@@ -174,7 +175,7 @@
 	f.Fraction = 0.3
 }
 
-// drawPeerPartition separates the controllers of even numbers from those of odd numbers.
+// drawPeerPartition partitions the controllers with even numbers from those with odd numbers.
 func drawPeerPartition(d *faultSampler, f *Fault) {
 	f.Kind = FaultPartition
 	f.Name = partitionHalf
--- a/internal/sim/cluster/inject.go
+++ b/internal/sim/cluster/inject.go
@@ -9,16 +9,16 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// An InjectedFault is a fault that began.
+// An InjectedFault is a fault with the time at which it was injected.
 type InjectedFault struct {
 	At    float64 `json:"at_s"`
 	Fault *Fault  `json:"step"`
 }
 
-// dropNoticePeriod is how long a replaced exchange goes on, to report the calls that it dropped.
+// dropNoticePeriod is how long a replaced exchange keeps running after it dropped its calls, to report them.
 const dropNoticePeriod = 200 * time.Millisecond
 
-// inject waits for a fault's time, begins it and ends it.
+// inject waits until a fault is due, injects it and ends it after its duration.
 func (r *Run) inject(ctx context.Context, f *Fault) {
 	if !r.sleepUntil(ctx, f.At.D()) {
 		return
@@ -31,7 +31,7 @@
 		r.injectPathFault(ctx, f)
 		return
 	}
-	names, _ := r.options.Topology.Match(f.From) // the schedule was checked
+	names, _ := r.options.Topology.Match(f.From) // no error: prepare checked the schedule
 	var targets sync.WaitGroup
 	defer targets.Wait()
 	for _, name := range names {
@@ -39,7 +39,7 @@
 	}
 }
 
-// injectComponentFault injects a fault into one part.
+// injectComponentFault injects a fault into one component.
 func (r *Run) injectComponentFault(ctx context.Context, f *Fault, name string) {
 	switch kindOf(name) {
 	case kindStore:
@@ -78,7 +78,7 @@
 	}
 }
 
-// crashExchange ends an exchange, and starts a cold one after the fault's duration.
+// crashExchange ends an exchange and starts a cold one after the fault's duration.
 func (r *Run) crashExchange(ctx context.Context, f *Fault, s *exchangeSlot) {
 	server, endpoint, isReplaceable := s.current()
 	if !isReplaceable {
@@ -91,7 +91,7 @@
 	r.startSuccessor(s)
 }
 
-// replaceExchange starts a cold exchange, drains the old one for the fault's duration and ends it.
+// replaceExchange starts a cold exchange, drains the old one for the fault's duration and then ends it.
 func (r *Run) replaceExchange(ctx context.Context, f *Fault, s *exchangeSlot) {
 	server, endpoint, isReplaceable := s.current()
 	if !isReplaceable {
@@ -109,16 +109,16 @@
 	r.publishEndpoints()
 }
 
-// endExchange ends an exchange: its connections are reset, and nothing listens at its addresses.
+// endExchange ends an exchange and closes its proxies, which resets the connections of controllers to it.
 func (r *Run) endExchange(server *loopback.Exchange, endpoint loopback.Endpoint) {
 	server.Close()
 	r.closeExchangeProxies(endpoint.ID)
 }
 
-// startSuccessor starts a cold exchange in a slot and publishes it.
+// startSuccessor starts a cold exchange in a slot and publishes its endpoint.
 func (r *Run) startSuccessor(s *exchangeSlot) {
 	if err := r.startExchange(s, true); err != nil {
-		r.violation(ruleHarness, "", "no exchange could be started: %v", err)
+		r.violation(ruleHarness, "", "starting an exchange failed: %v", err)
 		return
 	}
 	r.publishEndpoints()
--- a/internal/sim/cluster/inject_path.go
+++ b/internal/sim/cluster/inject_path.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// addProxy remembers a proxy, and applies the faults to it that are active now.
+// addProxy registers a proxy and applies the active path faults to it.
 func (r *Run) addProxy(p proxy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -15,7 +15,7 @@
 	}
 }
 
-// injectPathFault injects a fault into the network paths between its parts.
+// injectPathFault injects a fault into the network paths between From and To.
 func (r *Run) injectPathFault(ctx context.Context, f *Fault) {
 	if f.Kind == FaultConnectionReset {
 		for _, p := range r.affectedProxies(f) {
@@ -28,7 +28,7 @@
 	pause(ctx, f.Duration.D())
 }
 
-// setPathFault begins or ends a fault on all proxies.
+// setPathFault begins or ends a fault on all proxies that it affects.
 func (r *Run) setPathFault(f *Fault, active bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,9 +55,10 @@
 	return affected
 }
 
-// affects reports whether a path leads from a fault's From to its To, forward and backward.
+// affects reports whether a fault's From and To are the client and server side of a path (forward), or the reverse
+// (backward).
 func (r *Run) affects(f *Fault, p *networkPath) (forward, backward bool) {
-	from, _ := r.options.Topology.Match(f.From) // the schedule was checked
+	from, _ := r.options.Topology.Match(f.From) // no error: prepare checked the schedule
 	to, _ := r.options.Topology.Match(f.To)
 	forward = slices.Contains(from, p.from) && slices.Contains(to, p.to)
 	backward = slices.Contains(from, p.to) && slices.Contains(to, p.from)
@@ -90,7 +91,7 @@
 	})
 }
 
-// impairment returns what the fault does to traffic.
+// impairment returns the fault's effect on traffic.
 func (f *Fault) impairment() Impairment {
 	switch f.Kind {
 	case FaultPartition, FaultOneWayPartition:
--- a/internal/sim/cluster/inject_peer.go
+++ b/internal/sim/cluster/inject_peer.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// forgedIncarnation is higher than that of a controller, so that its forged messages count as later.
+	// forgedIncarnation is higher than the incarnation of any controller, so that receivers take forged messages for
+	// newer ones.
 	forgedIncarnation = 1 << 31
 	forgeryInterval   = 500 * time.Millisecond
 )
 
-// impersonate sends forged datagrams under a controller's member number, signed with the fleet's key, until the
-// fault's duration is over: load reports and limit updates that say of all servers that they are overloaded, or that
-// they are not.
+// impersonate sends forged datagrams under a controller's member number, signed with the fleet's key, for the fault's
+// duration: load reports and limit updates according to which all servers are overloaded, or none is.
 func (r *Run) impersonate(ctx context.Context, f *Fault, c *controller) {
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
-		r.violation(ruleHarness, "", "no socket for a hostile process: %v", err)
+		r.violation(ruleHarness, "", "opening the socket of a byzantine peer failed: %v", err)
 		return
 	}
 	defer func() { _ = socket.Close() }()
@@ -41,7 +41,7 @@
 	}
 }
 
-// serverKeys returns the keys of the present exchanges in overload control.
+// serverKeys returns the keys of the current exchanges in overload control.
 func (r *Run) serverKeys() []uint32 {
 	var keys []uint32
 	for _, s := range r.slots {
@@ -51,14 +51,14 @@
 	return keys
 }
 
-// sign appends the fleet's signature to a datagram.
+// sign appends a signature with the fleet's key to a datagram.
 func (r *Run) sign(datagram []byte) []byte {
 	mac := hmac.New(sha256.New, r.signingKey)
 	_, _ = mac.Write(datagram)
 	return append(datagram, mac.Sum(nil)[:transport.SignatureBytes]...)
 }
 
-// sendToPeers sends datagrams to all controllers but one. Losses do not matter: the next datagrams say the same.
+// sendToPeers sends datagrams to all controllers except one. Errors are ignored: the next datagrams say the same.
 func (r *Run) sendToPeers(socket net.PacketConn, except *controller, datagrams ...[]byte) {
 	for _, c := range r.controllers {
 		addr, err := net.ResolveUDPAddr("udp4", c.overloadListen)
--- a/internal/sim/cluster/inject_process.go
+++ b/internal/sim/cluster/inject_process.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// terminationNotice is how long calls still come to a controller after SIGTERM, as the platform documents.
+	// terminationNotice is how long calls are still routed to a controller after SIGTERM, as the platform documents.
 	terminationNotice = 250 * time.Millisecond
 	exitPollInterval  = 5 * time.Millisecond
 )
@@ -34,7 +34,7 @@
 	}
 }
 
-// pauseController stops a controller's process for the fault's duration.
+// pauseController pauses a controller's process with SIGSTOP for the fault's duration.
 func (r *Run) pauseController(ctx context.Context, f *Fault, c *controller) {
 	p := c.beginFault(controllerPaused)
 	if p == nil {
@@ -48,7 +48,7 @@
 	c.endFault(controllerPaused)
 }
 
-// killController kills a controller's process and waits until its agent has started it again.
+// killController kills a controller's process and waits until its agent has restarted it.
 func (r *Run) killController(ctx context.Context, c *controller) {
 	p := c.beginFault(controllerRestarting)
 	if p == nil {
@@ -56,12 +56,12 @@
 	}
 	r.load.Pause(c.number, true)
 	_ = p.signal(syscall.SIGKILL)
-	awaitExit(ctx, p) // until then it may send set-ups
+	awaitExit(ctx, p) // until then, the process may still send set-ups
 	r.monitor.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 	r.awaitRestart(ctx, c)
 }
 
-// terminateController has a controller shut down and waits until its agent has started it again.
+// terminateController sends SIGTERM to a controller and waits until its agent has restarted it.
 func (r *Run) terminateController(ctx context.Context, c *controller) {
 	p := c.beginFault(controllerRestarting)
 	if p == nil {
@@ -75,7 +75,7 @@
 	r.awaitRestart(ctx, c)
 }
 
-// awaitExit waits until a process has ended: until then its controller seems to serve.
+// awaitExit waits until a process has ended. Until then, isServing may still report true for its controller.
 func awaitExit(ctx context.Context, p *process) {
 	for !p.hasEnded() {
 		if !pause(ctx, exitPollInterval) {
@@ -84,24 +84,24 @@
 	}
 }
 
-// fillDisk fails a controller's writes to files, its records and its log, by a limit of the size of files. A process
-// that is started meanwhile has no limit.
+// fillDisk makes a controller's writes to its records and its log fail by a file size limit of 0 on its process. A
+// process that is started in the meantime has no limit.
 func (r *Run) fillDisk(ctx context.Context, f *Fault, c *controller) {
 	p := c.currentProcess()
 	if p == nil {
 		return
 	}
 	if err := limitFileSize(p, 0); err != nil {
-		r.violation(ruleHarness, c.name, "no limit could be set: %v", err)
+		r.violation(ruleHarness, c.name, "setting the file size limit failed: %v", err)
 		return
 	}
 	pause(ctx, f.Duration.D())
 	if err := limitFileSize(p, unix.RLIM_INFINITY); err != nil {
-		r.violation(ruleHarness, c.name, "no limit could be lifted: %v", err)
+		r.violation(ruleHarness, c.name, "lifting the file size limit failed: %v", err)
 	}
 }
 
-// limitFileSize limits the size of files that a process writes, in bytes. A process that has ended is no error.
+// limitFileSize limits the size of the files that a process writes, in bytes. It returns nil if the process has ended.
 func limitFileSize(p *process, size uint64) error {
 	if p.hasEnded() {
 		return nil
@@ -109,8 +109,8 @@
 	return unix.Prlimit(p.pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: size, Max: unix.RLIM_INFINITY}, nil)
 }
 
-// injectAgentFault injects a fault into an agent's process. The controllers of a killed agent go on, and nothing
-// starts them again.
+// injectAgentFault injects a fault into an agent's process. The controllers of a killed agent keep running, and are not
+// restarted if they end.
 func (r *Run) injectAgentFault(ctx context.Context, f *Fault, name string) {
 	a := r.agents[slices.IndexFunc(r.agents, func(a *agent) bool { return a.name == name })]
 	switch f.Kind {
--- a/internal/sim/cluster/inject_store.go
+++ b/internal/sim/cluster/inject_store.go
@@ -3,11 +3,12 @@
 import "context"
 
 const (
-	// staleRevisions is how far stale reads lag behind.
+	// staleRevisions is the number of revisions by which stale reads lag behind.
 	staleRevisions = 3
-	// lostResponses is how many responses FaultLostResponses loses.
+	// lostResponses is the number of responses that FaultLostResponses loses.
 	lostResponses = 5
-	// restoreMarkKey is the key whose write a restore loses, so that no controller stops being desired.
+	// restoreMarkKey is written just before a restore, so that the restore undoes this write and not the write of a
+	// desired controller.
 	restoreMarkKey = "/rig/mark"
 )
 
@@ -38,7 +39,7 @@
 	case FaultRestore:
 		r.etcd.Set(restoreMarkKey, []byte(f.String()))
 		if err := r.etcd.Restore(r.etcd.Revision()-1, true); err != nil {
-			r.logf("%v is not done: %v", f, err) // the history is too short
+			r.logf("%v failed: %v", f, err) // the history is too short
 		}
 	default: // no fault of the store
 	}
