--- a/internal/sim/cluster/datagram_proxy.go
+++ b/internal/sim/cluster/datagram_proxy.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// Bounds of a datagram proxy.
+// Limits of a datagram proxy.
 const (
-	maxFlows            = 64   // senders to one address
-	maxPendingDatagrams = 4096 // on their way
-	// maxDatagram is more than the longest answer of discovery: there is a proxy for each pair of controllers.
+	maxFlows            = 64   // senders
+	maxPendingDatagrams = 4096 // delayed and not yet delivered
+	// maxDatagram is larger than the longest answer of discovery. The buffers are no larger than that because there is
+	// a proxy for each pair of controllers.
 	maxDatagram = 9 << 10
 )
 
-// A datagramProxy forwards UDP datagrams to an address, and the answers to the senders.
+// A datagramProxy forwards UDP datagrams to one address, and the answers back to the senders.
 type datagramProxy struct {
 	*networkPath
 	socket  net.PacketConn
 	target  string
-	observe observer // nil: there is none
+	observe observer // may be nil
 
 	goroutines sync.WaitGroup
 
 	stateMu sync.Mutex
 	rng     *rand.Rand
 	flows   map[string]net.Conn // by address of the sender
-	pending int                 // datagrams on their way
+	pending int                 // datagrams not yet delivered
 	closed  bool
 }
 
-// newDatagramProxy listens on loopback and forwards datagrams to target. Loss, duplication and jitter are drawn from
-// rng. close ends the proxy's goroutines.
+// newDatagramProxy listens on loopback and forwards datagrams to target. rng decides on loss, duplication and jitter.
+// close ends the proxy's goroutines.
 func newDatagramProxy(from, to, target string, rng *rand.Rand, observe observer) (*datagramProxy, error) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -52,10 +53,10 @@
 	return d, nil
 }
 
-// address returns where the proxy listens.
+// address returns the address at which the proxy listens.
 func (d *datagramProxy) address() string { return d.socket.LocalAddr().String() }
 
-// reset implements proxy: datagrams have no connections.
+// reset implements proxy. It does nothing: datagrams have no connections.
 func (d *datagramProxy) reset() {}
 
 // close implements proxy.
@@ -65,7 +66,7 @@
 	d.goroutines.Wait()
 }
 
-// closeFlows closes the flows and has no new ones opened.
+// closeFlows closes all flows and prevents new ones.
 func (d *datagramProxy) closeFlows() {
 	d.stateMu.Lock()
 	defer d.stateMu.Unlock()
@@ -89,8 +90,8 @@
 	}
 }
 
-// flowOf returns the socket that forwards a sender's datagrams, or nil if there are too many senders or the proxy is
-// closed.
+// flowOf returns the socket that forwards a sender's datagrams, and opens it for a new sender. It returns nil if there
+// are too many senders, the socket cannot be opened or the proxy is closed.
 func (d *datagramProxy) flowOf(sender net.Addr) net.Conn {
 	d.stateMu.Lock()
 	defer d.stateMu.Unlock()
@@ -110,7 +111,7 @@
 	return flow
 }
 
-// readAnswers forwards answers to the sender of the requests until the flow is closed.
+// readAnswers forwards answers to the sender of the requests until its flow is closed.
 func (d *datagramProxy) readAnswers(flow net.Conn, sender net.Addr) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -118,7 +119,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // nothing listens at the target now
+		if err != nil { // for instance ECONNREFUSED while nothing listens at the target
 			continue
 		}
 		d.forward(Backward, append([]byte(nil), buffer[:n]...), func(data []byte) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// forward sends the copies of a datagram that the path's impairment leaves, each after its own delay.
+// forward delivers a datagram under the path's impairment: not at all, once or twice, each copy after its own delay.
 func (d *datagramProxy) forward(direction Direction, data []byte, send func([]byte)) {
 	impairment, _ := d.impairment(direction)
 	deliver := func() {
@@ -148,7 +149,7 @@
 	}
 }
 
-// drawCopies draws how often a datagram is delivered, and counts the copies as pending.
+// drawCopies draws the number of copies of a datagram that are delivered, and counts them as pending.
 func (d *datagramProxy) drawCopies(i Impairment) int {
 	d.stateMu.Lock()
 	defer d.stateMu.Unlock()
--- a/internal/sim/cluster/pump.go
+++ b/internal/sim/cluster/pump.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// A pump forwards one direction of a connection, with the impairment of the path.
+// A pump forwards one direction of a connection and applies the impairment of the path to it.
 type pump struct {
 	conn      *proxiedConn
 	direction Direction
 	to        net.Conn
 	in        <-chan chunk
 	observe   func([]byte)
-	busyUntil time.Time // a limited bandwidth is in use until then
+	busyUntil time.Time // until when a limited bandwidth is used up
 }
 
-// run forwards chunks until either side ends.
+// run forwards chunks until one side ends.
 func (p *pump) run() {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// awaitDue waits until the impairment lets a chunk pass. It reports false if the connection ends before.
+// awaitDue waits until the impairment allows a chunk to be forwarded. It reports false if the connection ends before.
 func (p *pump) awaitDue(next *chunk) bool {
 	for {
 		impairment, changed := p.conn.proxy.impairment(p.direction)
@@ -57,14 +57,14 @@
 	}
 }
 
-// reserveBandwidth reserves the bandwidth for a number of bytes; a bandwidth of 0 is unlimited.
+// reserveBandwidth reserves the time that bytes take at a bandwidth. A bandwidth of 0 is unlimited.
 func (p *pump) reserveBandwidth(bytes, bytesPerSecond int) {
 	if bytesPerSecond > 0 {
 		p.busyUntil = time.Now().Add(time.Duration(bytes) * time.Second / time.Duration(bytesPerSecond))
 	}
 }
 
-// forward writes a chunk. It reports false if the connection has ended.
+// forward writes a chunk to the receiver. It reports false if the connection has ended.
 func (p *pump) forward(next *chunk) bool {
 	if len(next.data) > 0 {
 		p.observe(next.data)
--- a/internal/sim/cluster/sip_observer.go
+++ b/internal/sim/cluster/sip_observer.go
@@ -8,25 +8,25 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// First SIP status codes of final responses and of failures.
+// Lowest SIP status codes of final responses and of those that reject an attempt.
 const (
 	firstFinalStatus   = 200
 	firstFailureStatus = 300
 )
 
-// A sipObserver records the SIP messages of one connection between a controller and an exchange.
+// A sipObserver parses the SIP messages on one connection between a controller and an exchange, and records events.
 type sipObserver struct {
 	monitor            *monitor
 	controller, server string
 
 	mu      sync.Mutex
-	readers [directions]sip.Reader
-	ended   [directions]bool
+	readers [numDirections]sip.Reader
+	ended   [numDirections]bool
 	open    map[exchange.Attempt]bool // attempts without a final response
 }
 
-// observeSIP returns the observer of a connection between a controller and an exchange. Attempts that are open when
-// the connection ends are recorded as broken.
+// observeSIP returns an observer for a connection between a controller and an exchange. Attempts that are open when the
+// connection ends are recorded as broken.
 func (m *monitor) observeSIP(controller, server string) observer {
 	o := &sipObserver{monitor: m, controller: controller, server: server, open: make(map[exchange.Attempt]bool)}
 	return o.observe
@@ -52,9 +52,9 @@
 	}
 }
 
-// recordBroken records the open attempts as broken.
+// recordBroken records all open attempts as broken and ignores further data.
 func (o *sipObserver) recordBroken() {
-	o.ended = [directions]bool{true, true}
+	o.ended = [numDirections]bool{true, true}
 	for a := range o.open {
 		o.monitor.record(invariant.Event{
 			Kind: invariant.AttemptBroken, Controller: o.controller, Call: a.Call, Server: o.server, Attempt: a.Number,
@@ -62,7 +62,7 @@
 	}
 }
 
-// recordMessage records a message that concerns an attempt.
+// recordMessage records the event of a message that concerns an attempt. It ignores other messages.
 func (o *sipObserver) recordMessage(direction Direction, m *sip.Message) {
 	event := invariant.Event{Controller: o.controller, Call: m.CallID, Server: o.server, Attempt: m.CSeq - 1}
 	attempt := exchange.Attempt{Call: event.Call, Number: event.Attempt}
--- a/internal/sim/cluster/stream_proxy.go
+++ b/internal/sim/cluster/stream_proxy.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Bounds of a stream proxy.
+// Limits of a stream proxy.
 const (
 	maxQueuedChunks  = 512 // in one direction of a connection
 	chunkBytes       = 8 << 10
 	proxyDialTimeout = 2 * time.Second
-	// maxHalfOpen is how long a connection stays half-open before the proxy closes it.
+	// maxHalfOpen is how long a connection stays half-open before the proxy closes it, if no fault begins or ends.
 	maxHalfOpen = time.Minute
 )
 
-// A streamProxy forwards TCP connections to the address that target returns.
+// A streamProxy forwards TCP connections to an address.
 type streamProxy struct {
 	*networkPath
 	listener    net.Listener
@@ -32,8 +32,8 @@
 	closed  bool
 }
 
-// newStreamProxy listens on loopback and forwards connections to the address that target returns at each connection.
-// newObserver makes the observer of each connection; nil: there are none. close ends the proxy's goroutines.
+// newStreamProxy listens on loopback. For each connection it calls target for the address to forward to, and
+// newObserver, unless it is nil, for an observer. close ends the proxy's goroutines.
 func newStreamProxy(from, to string, target func() string, newObserver func() observer) (*streamProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,7 @@
 	return s, nil
 }
 
-// address returns where the proxy listens.
+// address returns the address at which the proxy listens.
 func (s *streamProxy) address() string { return s.listener.Addr().String() }
 
 func (s *streamProxy) accept() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// register remembers a connection for resets. It reports false if the proxy is closed.
+// register adds a connection to those that are reset by faults. It reports false if the proxy is closed.
 func (s *streamProxy) register(conn net.Conn) bool {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
@@ -77,7 +77,7 @@
 	return true
 }
 
-// release forgets and closes a connection.
+// release unregisters and closes a connection.
 func (s *streamProxy) release(conn net.Conn) {
 	s.connsMu.Lock()
 	delete(s.conns, conn)
@@ -85,14 +85,14 @@
 	_ = conn.Close()
 }
 
-// reset implements proxy. It resets both sides of each connection.
+// reset implements proxy. It resets the client and the server side of each connection.
 func (s *streamProxy) reset() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
 	s.resetLocked()
 }
 
-// resetLocked resets all connections. streamProxy.connsMu is held.
+// resetLocked resets all connections. The caller holds connsMu.
 func (s *streamProxy) resetLocked() {
 	for conn := range s.conns {
 		resetConn(conn)
@@ -103,11 +103,11 @@
 func (s *streamProxy) close() {
 	_ = s.listener.Close()
 	s.refuseConns()
-	s.cancel() // after the reset: the end of a goroutine closes its connection without one
+	s.cancel() // after the reset, because a goroutine that ends closes its connection without a reset
 	s.goroutines.Wait()
 }
 
-// refuseConns resets all connections and accepts no new ones.
+// refuseConns resets all connections and prevents new ones.
 func (s *streamProxy) refuseConns() {
 	s.connsMu.Lock()
 	defer s.connsMu.Unlock()
@@ -123,7 +123,7 @@
 	_ = conn.Close()
 }
 
-// serve forwards a client's connection until one side ends.
+// serve forwards a client's connection until one side ends or the proxy is closed.
 func (s *streamProxy) serve(client net.Conn) {
 	defer s.release(client)
 	if !s.register(client) {
@@ -166,7 +166,7 @@
 	backward.run()
 }
 
-// A proxiedConn is one client connection and its connection to the server.
+// A proxiedConn is a client connection with the corresponding connection to the server.
 type proxiedConn struct {
 	proxy   *streamProxy
 	observe observer
@@ -183,8 +183,8 @@
 	return c
 }
 
-// awaitForwarding waits while connections are half-open. It reports false after maxHalfOpen without a change, or when
-// the proxy is closed.
+// awaitForwarding waits while new connections are not forwarded. It reports false after maxHalfOpen without a change of
+// the active faults, or when the connection or the proxy is closed.
 func (c *proxiedConn) awaitForwarding() bool {
 	for {
 		forwards, changed := c.proxy.forwardsConnections()
@@ -205,10 +205,10 @@
 type chunk struct {
 	data   []byte
 	readAt time.Time
-	err    error // the stream ended with it
+	err    error // with which the stream ended; nil: it has not
 }
 
-// read queues what arrives until the stream ends. A full queue blocks the sender, as a network does.
+// read queues received data until the stream ends. A full queue blocks the sender, as TCP flow control does.
 func (c *proxiedConn) read(from net.Conn, queue chan<- chunk, observe func([]byte)) {
 	for {
 		buffer := make([]byte, chunkBytes)
