--- a/internal/sim/cluster/agent.go
+++ b/internal/sim/cluster/agent.go
@@ -14,13 +14,13 @@
 	"olivedale/internal/codec/h248"
 )
 
-// instancePrefix is the prefix of desired instances in etcd; below it each agent has a part of its own.
+// instancePrefix is the key prefix of desired instances in etcd. Each agent has its own subtree below it.
 const instancePrefix = "/olivedale/instances/"
 
-// agentPollTimeout bounds one question to an agent.
+// agentPollTimeout bounds one status request to an agent.
 const agentPollTimeout = 500 * time.Millisecond
 
-// An agent runs the controllers of its zone.
+// An agent is the process that starts and supervises the controllers of its zone.
 type agent struct {
 	name       string
 	addr       string
@@ -31,6 +31,7 @@
 	killed bool // guarded by Run.mu
 }
 
+// startAgent starts an agent's process, and the proxy between the agent and the store.
 func (r *Run) startAgent(a *agent) error {
 	var err error
 	if a.storeProxy, err = newStreamProxy(a.name, storeName, r.etcd.Addr, nil); err != nil {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// terminate continues an agent that is paused and asks it to stop.
+// terminate resumes the agent if it is paused and asks it to stop.
 func (a *agent) terminate() {
 	if a.command == nil || a.command.Process == nil {
 		return
@@ -67,8 +68,8 @@
 	_ = a.command.Process.Signal(syscall.SIGTERM)
 }
 
-// awaitAgents waits until all agents have ended. Those that have not when the timeout is over are reported; the
-// parent watch kills them.
+// awaitAgents waits until all agents have ended. It returns an error that names those that are still running after the
+// timeout; closing the parent watch kills them.
 func (r *Run) awaitAgents(timeout time.Duration) error {
 	deadline := time.After(timeout)
 	var err error
@@ -79,14 +80,14 @@
 		select {
 		case <-a.ended:
 		case <-deadline:
-			err = errors.Join(err, fmt.Errorf("cluster: %s did not stop in %v and is killed", a.name, timeout))
+			err = errors.Join(err, fmt.Errorf("cluster: %s did not stop within %v and will be killed", a.name, timeout))
 			deadline = time.After(0)
 		}
 	}
 	return err
 }
 
-// pollAgents asks the agents which processes run.
+// pollAgents asks all agents that were not killed which controller processes they run.
 func (r *Run) pollAgents(ctx context.Context) {
 	var polls sync.WaitGroup
 	for _, a := range r.agents {
@@ -103,7 +104,7 @@
 	return a.killed
 }
 
-// pollAgent asks one agent. An agent that does not answer may be paused, or may not listen yet.
+// pollAgent asks one agent. Errors are ignored: the agent may be paused, or may not listen yet.
 func (r *Run) pollAgent(ctx context.Context, a *agent) {
 	ctx, cancel := context.WithTimeout(ctx, agentPollTimeout)
 	defer cancel()
@@ -118,7 +119,7 @@
 	}
 }
 
-// applyInstanceReport takes what an agent reports of an instance.
+// applyInstanceReport updates a controller from an agent's report on its instance.
 func (r *Run) applyInstanceReport(instance *h248.Node) {
 	value := func(property string) string {
 		return h248.Value([]*h248.Node{instance}, "oa/instance", property)
--- a/internal/sim/cluster/controller.go
+++ b/internal/sim/cluster/controller.go
@@ -11,16 +11,16 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// probeTimeout bounds the connection by which a controller is found to serve.
+// probeTimeout bounds the connection attempt that checks whether a controller accepts connections.
 const probeTimeout = 200 * time.Millisecond
 
-// controllerState says what the run does to a controller's process.
+// controllerState is the state of a controller's process with regard to the injected faults.
 type controllerState int
 
 const (
 	controllerRunning    controllerState = iota
 	controllerPaused                     // stopped by SIGSTOP
-	controllerRestarting                 // ended; the agent starts it again
+	controllerRestarting                 // ending or ended; the agent starts it again
 )
 
 // String implements fmt.Stringer.
@@ -37,7 +37,7 @@
 	}
 }
 
-// A controller is a controller instance that runs under the agent of its zone, with the proxies on its paths.
+// A controller is a call controller that runs under the agent of its zone, with the proxies on its network paths.
 type controller struct {
 	name           string
 	number         int
@@ -54,12 +54,12 @@
 
 	mu      sync.Mutex
 	process *process
-	starts  int // how often the agent has started it
+	starts  int // number of times that the agent has started it
 	state   controllerState
 }
 
-// beginFault moves a running controller to a state. It returns the controller's process, or nil if another fault
-// affects the controller or no process is known.
+// beginFault changes the state of a running controller. It returns the controller's process, or nil if the controller
+// is not in state running or its process is unknown.
 func (c *controller) beginFault(state controllerState) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return c.process
 }
 
-// endFault moves a controller from a state back to running.
+// endFault changes the controller's state back to running if it is still state.
 func (c *controller) endFault(state controllerState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// detectCrash reports whether the process has ended though the run did not end it, and moves to restarting.
+// detectCrash reports whether the process has ended without a fault that ends it. If so, the state becomes restarting.
 func (c *controller) detectCrash() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	return true
 }
 
-// updateProcess remembers the process that the agent reports. A process that has ended already is ignored.
+// updateProcess stores the process that the agent reports. A process that has already ended is ignored.
 func (c *controller) updateProcess(pid, starts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,14 +109,14 @@
 	c.starts = starts
 }
 
-// currentProcess returns the controller's process, or nil if none is known.
+// currentProcess returns the controller's process, or nil if it is unknown.
 func (c *controller) currentProcess() *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.process
 }
 
-// isServing reports whether the controller runs and accepts connections.
+// isServing reports whether the controller's process runs and accepts connections from clients.
 func (c *controller) isServing() bool {
 	p := c.currentProcess()
 	if p == nil || p.hasEnded() {
@@ -130,7 +130,7 @@
 	return true
 }
 
-// controller returns the controller of a name, or nil.
+// controller returns the controller with the given name, or nil.
 func (r *Run) controller(name string) *controller {
 	i := slices.IndexFunc(r.controllers, func(c *controller) bool { return c.name == name })
 	if i < 0 {
@@ -139,7 +139,7 @@
 	return r.controllers[i]
 }
 
-// request has the agent of its zone run a controller.
+// requestInstance writes a controller's specification to the store, so that the agent of its zone starts it.
 func (r *Run) requestInstance(c *controller) error {
 	gatewayListen, err := r.ports.Free()
 	if err != nil {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// overloadControl returns a controller's section [share], or nil if it takes no part in overload control.
+// overloadControl returns the section [share] of a controller's configuration, or nil without overload control.
 func (r *Run) overloadControl(c *controller) map[string]any {
 	if !r.options.Topology.Share {
 		return nil
--- a/internal/sim/cluster/exchange_slot.go
+++ b/internal/sim/cluster/exchange_slot.go
@@ -9,13 +9,13 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// Factors by which the seeds of an exchange's successors differ.
+// Steps between the seeds of exchanges: from one pool to the next, and from an exchange to its successor.
 const (
 	poolSeedStep       = 31
 	generationSeedStep = 7
 )
 
-// An exchangeSlot is the place of an exchange, and of the ones that replace it.
+// An exchangeSlot holds an exchange and, after a crash or a replacement, its successor. Name, pool and zone stay.
 type exchangeSlot struct {
 	name string
 	pool int
@@ -23,11 +23,11 @@
 
 	mu         sync.Mutex
 	exchange   *loopback.Exchange
-	endpoint   loopback.Endpoint  // of exchange; its address differs for each controller
-	draining   *loopback.Endpoint // the predecessor while it drains
-	generation int                // number of the next exchange
-	collapsed  bool               // the exchange went down while it was cold
-	empty      bool               // no exchange runs
+	endpoint   loopback.Endpoint  // of exchange; each controller reaches it at the address of a proxy instead
+	draining   *loopback.Endpoint // the replaced exchange while it drains; nil: none
+	generation int                // number of exchanges started in the slot
+	collapsed  bool               // the exchange went down by overload while it was cold
+	empty      bool               // no exchange is running
 }
 
 // endpoints returns the endpoints that discovery lists for the slot.
@@ -44,7 +44,7 @@
 	return all
 }
 
-// addAvailability notes which exchanges of the slot take calls.
+// addAvailability adds to all whether each exchange of the slot accepts calls.
 func (s *exchangeSlot) addAvailability(all availability) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// current returns the exchange and its endpoint, and whether the slot is free for a replacement.
+// current returns the exchange and its endpoint, and whether the exchange can be replaced: it runs, and no predecessor
+// drains.
 func (s *exchangeSlot) current() (*loopback.Exchange, loopback.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,21 +63,22 @@
 	return s.exchange, s.endpoint, isReplaceable
 }
 
-// setEmpty notes that no exchange runs.
+// setEmpty records that no exchange is running.
 func (s *exchangeSlot) setEmpty() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.empty = true
 }
 
-// setDraining notes the endpoint that drains; nil: none does.
+// setDraining records the endpoint that drains, or nil for none.
 func (s *exchangeSlot) setDraining(endpoint *loopback.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = endpoint
 }
 
-// detectCollapse reports once whether the exchange went down by overload while it was cold.
+// detectCollapse returns the ID of the exchange and true if it went down by overload while it was cold. It reports each
+// collapse only once.
 func (s *exchangeSlot) detectCollapse() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +89,12 @@
 	return s.endpoint.ID, true
 }
 
-// slot returns the exchange slot of a name.
+// slot returns the exchange slot with the given name.
 func (r *Run) slot(name string) *exchangeSlot {
 	return r.slots[slices.IndexFunc(r.slots, func(s *exchangeSlot) bool { return s.name == name })]
 }
 
-// startExchange starts an exchange in a slot.
+// startExchange starts an exchange in a slot, with a proxy for each controller.
 func (r *Run) startExchange(s *exchangeSlot, cold bool) error {
 	seed := r.options.Schedule.Seed + uint64(s.pool)*poolSeedStep + uint64(s.generation)*generationSeedStep
 	exchange, err := loopback.Listen("127.0.0.1:0", r.scenario.Model(), cold, seed)
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// addExchangeProxy puts a proxy on the path from a controller to an exchange.
+// addExchangeProxy starts the proxy on the path from a controller to an exchange.
 func (r *Run) addExchangeProxy(c *controller, endpoint loopback.Endpoint, slotName string) error {
 	target := func() string { return endpoint.Addr }
 	newObserver := func() observer { return r.monitor.observeSIP(c.name, endpoint.ID) }
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// closeExchangeProxies has nothing listen any more where controllers reach an exchange.
+// closeExchangeProxies closes the proxies to an exchange, so that controllers can no longer connect to it.
 func (r *Run) closeExchangeProxies(id string) {
 	for _, c := range r.controllers {
 		r.mu.Lock()
@@ -149,7 +151,7 @@
 	}
 }
 
-// endpoints returns the exchanges as a controller reaches them.
+// endpoints returns the endpoints of all exchanges, with the addresses of the controller's proxies.
 func (r *Run) endpoints(c *controller) []loopback.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +167,7 @@
 	return all
 }
 
-// publishEndpoints has discovery publish the present endpoints to all controllers.
+// publishEndpoints publishes the current endpoints to all controllers through discovery.
 func (r *Run) publishEndpoints() {
 	update := make(availability)
 	for _, s := range r.slots {
--- a/internal/sim/cluster/instance.go
+++ b/internal/sim/cluster/instance.go
@@ -9,20 +9,20 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// An Instance is a controller that an agent is to run. Addresses are host:port.
+// An Instance is the specification of a controller for the agent that runs it. Addresses are host:port.
 type Instance struct {
 	Name            string
 	Listen          string // address for clients
 	GatewayListen   string // address for H.248 gateways
 	Admin           string // address of the admin API
-	AdminProxy      string // address at which the agent reaches the admin API; "": at Admin
+	AdminProxy      string // address at which the agent reaches the admin API; "": Admin
 	Discovery       string // address of the name service
-	Records         string // folder
+	Records         string // directory
 	Zone            string
 	Seed            uint64
-	FleetSize       int                 // controllers of the fleet
-	OverloadControl map[string]any      // section [share] of the operator's file; nil: it takes no part
-	Endpoints       []loopback.Endpoint // exchanges, as the platform lists them to a controller that starts
+	FleetSize       int                 // number of controllers
+	OverloadControl map[string]any      // section [share] of the operator's file; nil: no overload control
+	Endpoints       []loopback.Endpoint // exchanges that the platform lists for a controller at its start
 }
 
 // Limits of a controller's process.
@@ -31,7 +31,7 @@
 	socketLimit   = 1024
 )
 
-// Settings that the platform gives to each controller; times in milliseconds.
+// Settings that the platform gives to each controller. Times are in milliseconds.
 const (
 	retryGuardMS     = 300
 	connectTimeoutMS = 500
@@ -40,7 +40,7 @@
 	endpointKind     = "std"
 )
 
-// Spec returns the value by which etcd says that the instance should run.
+// Spec returns the value in etcd that makes an agent run the instance.
 func (i *Instance) Spec(sc *scenario.Scenario) ([]byte, error) {
 	text, err := json.Marshal(map[string]any{
 		"h248":    map[string]any{"Listen": i.GatewayListen, "Admin": i.Admin},
@@ -63,7 +63,7 @@
 	return text, nil
 }
 
-// knownEndpoints returns the endpoint list that the platform gives to a controller that starts.
+// knownEndpoints returns the list of endpoints that the platform gives to a controller at its start.
 func (i *Instance) knownEndpoints() config.KnownEndpoints {
 	var endpoints []config.Endpoint
 	for _, l := range i.Endpoints {
--- a/internal/sim/cluster/ports.go
+++ b/internal/sim/cluster/ports.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// maxPortAttempts bounds the search for a free port.
+// maxPortAttempts is the maximum number of attempts to find an unused port.
 const maxPortAttempts = 100
 
-// Ports hands out free addresses on one loopback host, none twice.
+// Ports allocates free ports on one loopback host. It returns no port twice.
 type Ports struct {
 	Host string
 	used map[string]bool
@@ -20,7 +20,7 @@
 	for range maxPortAttempts {
 		addr, err := p.probe()
 		if err != nil {
-			return "", fmt.Errorf("a free port: %w", err)
+			return "", fmt.Errorf("allocating a free port: %w", err)
 		}
 		if !p.used[addr] {
 			if p.used == nil {
@@ -30,10 +30,10 @@
 			return addr, nil
 		}
 	}
-	return "", errors.New("a free port: none was found in 100 attempts")
+	return "", errors.New("allocating a free port: none found in 100 attempts")
 }
 
-// probe returns an address that is free now.
+// probe returns an address whose port is free at the moment.
 func (p *Ports) probe() (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(p.Host, "0"))
 	if err != nil {
--- a/internal/sim/cluster/process.go
+++ b/internal/sim/cluster/process.go
@@ -8,12 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// A process is a process that an agent started, identified by a descriptor.
+// A process is a controller's process, started by an agent. It is identified by a pidfd, because the pid may be reused.
 type process struct {
 	pid        int
 	descriptor int
 }
 
+// openProcess opens a pidfd of the process pid.
 func openProcess(pid int) (*process, error) {
 	descriptor, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
@@ -22,7 +23,7 @@
 	return &process{pid, descriptor}, nil
 }
 
-// signal sends a signal. A process that has ended is no error.
+// signal sends a signal to the process. It returns nil if the process has ended.
 func (p *process) signal(s syscall.Signal) error { return signalProcess(p.descriptor, s) }
 
 // hasEnded reports whether the process has ended.
@@ -32,10 +33,10 @@
 	return err == nil && n > 0
 }
 
-// close closes the descriptor; the process goes on.
+// close closes the pidfd; the process keeps running.
 func (p *process) close() { _ = unix.Close(p.descriptor) }
 
-// signalProcess sends a signal to the process of a descriptor. A process that has ended is no error.
+// signalProcess sends a signal to the process of a pidfd. It returns nil if the process has ended.
 func signalProcess(descriptor int, s syscall.Signal) error {
 	err := unix.PidfdSendSignal(descriptor, s, nil, 0)
 	if err != nil && !errors.Is(err, unix.ESRCH) {
