--- a/internal/sim/cluster/condition.go
+++ b/internal/sim/cluster/condition.go
@@ -8,29 +8,30 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// A Condition must hold across processes. Check runs from After on until it returns nil; an error that it still
-// returns at Deadline is a violation. Both times count as those of faults do.
+// A Condition is a check across processes that must succeed in time. Check is called repeatedly from After on until it
+// returns nil; an error that it still returns after Deadline is a violation. Both times count from the same moment as
+// Fault.At.
 type Condition struct {
 	Name            string
 	After, Deadline time.Duration
 	Check           func(ctx context.Context, r *Run) error
 }
 
-// Rules of the cluster itself, beside those of the invariants, as results name them.
+// Rules that the harness itself checks, by their names in results. The rules on calls are in internal/sim/invariant.
 const (
 	ruleHarness  = "rig"      // the harness could not inject a fault
-	ruleNoCrash  = "no_crash" // no process ends unless the run ends it
-	ruleStarts   = "starts"   // a controller that ended serves again within startTimeout
-	ruleRecovers = "recovers" // calls are established through each controller once all faults are over
+	ruleNoCrash  = "no_crash" // no controller process ends unless the run ends it
+	ruleStarts   = "starts"   // a controller that ended accepts connections again within startTimeout
+	ruleRecovers = "recovers" // calls are established through each controller after all faults have ended
 )
 
-// minRecoveryCalls is the number of calls from which a controller's recovery is judged.
+// minRecoveryCalls is the minimum number of calls for checking a controller's recovery.
 const minRecoveryCalls = 20
 
 // conditionInterval is the time between two checks of a condition.
 const conditionInterval = 50 * time.Millisecond
 
-// A Violation is an invariant or a condition that did not hold, with what helps to reproduce it.
+// A Violation is an invariant or a condition that did not hold, with its context.
 type Violation struct {
 	Rule        string   `json:"rule"`
 	Text        string   `json:"text"`
@@ -43,14 +44,14 @@
 
 // String implements fmt.Stringer.
 func (v Violation) String() string {
-	s := fmt.Sprintf("%s broken at %.3f s: %s", v.Rule, v.At, v.Text)
+	s := fmt.Sprintf("%s violated at %.3f s: %s", v.Rule, v.At, v.Text)
 	if v.LatestFault != "" {
 		s += " (latest fault: " + v.LatestFault + ")"
 	}
 	return s
 }
 
-// violation notes a violation at this time.
+// violation records a violation at the current time.
 func (r *Run) violation(rule, controller, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +67,7 @@
 	r.violations = append(r.violations, v)
 }
 
-// checkCondition checks until the condition holds, or its deadline is over.
+// checkCondition checks a condition until it holds or its deadline has passed.
 func (r *Run) checkCondition(ctx context.Context, c Condition) {
 	if !r.sleepUntil(ctx, c.After) {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// checkRecovery checks that once all faults are over, at least half of the calls through each controller are
-// established. before is what callers had got when the last fault ended; nil: the run was too short.
+// checkRecovery checks that at least half of the calls that were sent through each controller after all faults had
+// ended were established. before has the statistics at that time; nil means that the run ended earlier.
 func (r *Run) checkRecovery(before []loopback.LoadStats) {
 	if before == nil {
 		return
@@ -96,7 +97,7 @@
 		if sent >= minRecoveryCalls && established*2 < sent {
 			name := r.controllers[i].name
 			r.violation(ruleRecovers, name,
-				"%d of the last %d calls through %s were established, after all faults were over",
+				"only %d of the %d calls through %s after the last fault were established",
 				established, sent, name)
 		}
 	}
--- a/internal/sim/cluster/monitor.go
+++ b/internal/sim/cluster/monitor.go
@@ -9,26 +9,27 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// A monitor turns the captured traffic of a run into events and has the invariants checked. What it knows of the
-// processes comes from the proxies and the callers alone. Its methods are safe for concurrent use.
+// A monitor turns the captured traffic of a run into events and passes them to the checker of the invariants. Its
+// knowledge of the processes comes only from proxies, callers and injected faults. Its methods are safe for concurrent
+// use.
 type monitor struct {
-	publishMu sync.Mutex // one update of discovery at a time
+	publishMu sync.Mutex // serializes updates of discovery
 
 	mu                sync.Mutex
 	checker           *invariant.Checker
 	startTime         time.Time
 	lastEventTime     invariant.Time
-	closedExchanges   map[string]map[string]bool // by controller: exchanges that it was notified are draining or gone
+	closedExchanges   map[string]map[string]bool // by controller: exchanges known to it as draining or gone
 	published         map[uint32]availability    // by serial number
 	serial            uint32
-	unreadableStreams int // streams that could not be parsed to their end
+	unreadableStreams int // SIP streams with a parse error
 }
 
-// An availability says of each exchange whether it takes calls, as published by discovery.
+// An availability maps the ID of each exchange to whether it accepts calls, as published by discovery.
 type availability map[string]bool
 
-// clockSlack is the tolerance of the invariants for clocks and network: proxies, callers and checker share a machine
-// with all the processes, and a verdict must not depend on its load.
+// clockSlack is the tolerance of the invariants for delays of clocks and network. Proxies, callers and checker share a
+// machine with all processes, and a verdict must not depend on the machine's load.
 const clockSlack = 150 * time.Millisecond
 
 func newMonitor(startTime time.Time) *monitor {
@@ -42,7 +43,7 @@
 	}
 }
 
-// record passes an event to the checker as of now. Until is taken as a time from now.
+// record passes an event to the checker with the current time. Its Deadline is relative to now.
 func (m *monitor) record(e invariant.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,8 +57,8 @@
 	m.checker.Record(e)
 }
 
-// publish has discovery publish an update by the function publish. Updates are made one after the other, so that the
-// serial number is the same for all controllers.
+// publish records an update under the next serial number and calls the function publish, which sets it in discovery.
+// Updates are serialized, so that all controllers see the same serial number for the same update.
 func (m *monitor) publish(update availability, publish func()) {
 	m.publishMu.Lock()
 	defer m.publishMu.Unlock()
@@ -68,21 +69,21 @@
 	publish()
 }
 
-// restart sets the clock to zero as calls begin.
+// setStartTime sets the time that the times of events count from.
 func (m *monitor) setStartTime(startTime time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.startTime = startTime
 }
 
-// clearNotifications forgets what a controller was notified of, because it starts again.
+// clearNotifications discards what a controller was notified of, because it is restarting.
 func (m *monitor) clearNotifications(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.closedExchanges, name)
 }
 
-// observeDiscovery records an answer of discovery as it reaches a controller.
+// observeDiscovery records the changes of availability in an answer of discovery when it reaches a controller.
 func (m *monitor) observeDiscovery(controller string, answer []byte) {
 	serial, ok := soaSerial(answer)
 	if !ok {
@@ -115,7 +116,7 @@
 	}
 }
 
-// soaSerial returns the serial number of the zone in a DNS answer.
+// soaSerial returns the serial number in the SOA record of a DNS answer.
 func soaSerial(answer []byte) (uint32, bool) {
 	var message dns.Msg
 	if message.Unpack(answer) != nil || len(message.Ns) == 0 {
@@ -128,14 +129,15 @@
 	return soa.Serial, true
 }
 
-// countUnreadable counts a stream that cannot be parsed any further.
+// countUnreadable counts a stream with a parse error.
 func (m *monitor) countUnreadable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unreadableStreams++
 }
 
-// violations returns the violations that the checker found, each with the latest fault that was injected before it.
+// violations finishes the checker and returns the violations that it found, each with the latest fault that was
+// injected before it.
 func (m *monitor) violations(injected []InjectedFault) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sim/cluster/page.go
+++ b/internal/sim/cluster/page.go
@@ -7,10 +7,11 @@
 	"olivedale/internal/sim/plot"
 )
 
-// minPlotSamples is the number of samples from which a curve is drawn.
+// minPlotSamples is the minimum number of samples for a plot.
 const minPlotSamples = 3
 
-// PagePart returns the run as a part of a page: its faults and violations beside what the callers of each zone got.
+// PagePart returns the section of a page for the run: its faults, its violations, and the results of the callers in
+// each zone as a table and a plot.
 func (r *Result) PagePart() (plot.Part, error) {
 	t := &r.Topology
 	about := fmt.Sprintf("%d call controllers, %d exchanges, %d zones with an agent each; calls for %.0f s. "+
@@ -21,13 +22,13 @@
 		p.Facts = append(p.Facts, f.Fault.String())
 	}
 	for _, v := range r.Violations {
-		p.Facts = append(p.Facts, "broken: "+v.String())
+		p.Facts = append(p.Facts, "violation: "+v.String())
 	}
 	p.Heading, p.Rows = r.Rows()
 	if len(r.Samples) < minPlotSamples {
 		return p, nil
 	}
-	svg, err := plot.Plot("calls sent and not established, so far", "s", "", r.curves())
+	svg, err := plot.Plot("calls sent but not established, cumulative", "s", "", r.curves())
 	if err != nil {
 		return p, err
 	}
@@ -35,8 +36,8 @@
 	return p, nil
 }
 
-// curves returns for each zone the calls that were sent and not established. A rise that stays is calls that were
-// lost; one that passes is calls that wait.
+// curves returns for each zone the cumulative number of calls that were sent but not established. A lasting rise means
+// calls that were lost; a temporary rise means calls that waited.
 func (r *Result) curves() []plot.Curve {
 	var curves []plot.Curve
 	for zone := range r.Topology.Zones {
--- a/internal/sim/cluster/play.go
+++ b/internal/sim/cluster/play.go
@@ -10,13 +10,13 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// Intervals of what observes a run.
+// Intervals at which a run is observed.
 const (
 	sampleInterval     = time.Second
 	crashCheckInterval = 100 * time.Millisecond
 )
 
-// play offers calls, injects the faults and collects the result.
+// play sends calls, injects the faults, checks the conditions and collects the result.
 func (r *Run) play(ctx context.Context) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -56,12 +56,12 @@
 	return r.result(), nil
 }
 
-// sleepUntil waits until a time since the start of the run. It reports false if ctx ends before.
+// sleepUntil waits until the given time since the start of calls. It reports false if ctx is done before.
 func (r *Run) sleepUntil(ctx context.Context, sinceStart time.Duration) bool {
 	return pause(ctx, time.Until(r.startTime.Add(sinceStart)))
 }
 
-// pause waits for a duration. It reports false if ctx ends before.
+// pause waits for a duration. It reports false if ctx is done before.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -71,14 +71,14 @@
 	}
 }
 
-// A Sample is what callers of each zone got from the start until a time.
+// A Sample has the numbers of calls in each zone from the start of calls until a time.
 type Sample struct {
 	At          float64 `json:"at_s"`
 	Sent        []int   `json:"sent"`
 	Established []int   `json:"stood"`
 }
 
-// takeSamples takes a sample each second until ctx ends.
+// takeSamples takes a sample every sampleInterval until ctx is done.
 func (r *Run) takeSamples(ctx context.Context) {
 	for pause(ctx, sampleInterval) {
 		r.takeSample()
@@ -102,7 +102,7 @@
 	r.samples = append(r.samples, s)
 }
 
-// loadStats returns what callers of each controller got until now.
+// loadStats returns the current statistics of the callers of each controller.
 func (r *Run) loadStats() []loopback.LoadStats {
 	var all []loopback.LoadStats
 	for i := range r.controllers {
@@ -111,7 +111,7 @@
 	return all
 }
 
-// detectFailures looks until ctx ends for processes that ended though the run did not end them, and for cold
+// detectFailures checks until ctx is done for controllers that ended without a fault that ends them, and for cold
 // exchanges that went down by overload.
 func (r *Run) detectFailures(ctx context.Context) {
 	var restarts sync.WaitGroup
@@ -120,7 +120,7 @@
 		for _, c := range r.controllers {
 			if c.detectCrash() {
 				r.violation(ruleNoCrash, c.name,
-					"%s ended though the run did not end it; its log is in %s", c.name, r.logFile.Name())
+					"%s ended unexpectedly; the log is %s", c.name, r.logFile.Name())
 				r.monitor.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 				restarts.Go(func() { r.awaitRestart(ctx, c) })
 			}
@@ -134,14 +134,15 @@
 	}
 }
 
-// awaitRestart waits until a controller that ended serves again, and then sends calls to it.
+// awaitRestart pauses calls to a controller that ended until it serves again. If it does not within startTimeout, calls
+// stay paused, and a violation is recorded.
 func (r *Run) awaitRestart(ctx context.Context, c *controller) {
 	r.load.Pause(c.number, true)
 	r.monitor.clearNotifications(c.name)
 	start := time.Now()
 	for !c.isServing() {
 		if time.Since(start) > startTimeout {
-			r.violation(ruleStarts, c.name, "%s does not serve %v after its end", c.name, startTimeout)
+			r.violation(ruleStarts, c.name, "%s does not serve %v after it ended", c.name, startTimeout)
 			return
 		}
 		if !pause(ctx, startPollInterval) {
--- a/internal/sim/cluster/result.go
+++ b/internal/sim/cluster/result.go
@@ -10,7 +10,7 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// ZoneStats are what the callers of a zone got.
+// ZoneStats are the results of the callers in a zone.
 type ZoneStats struct {
 	Name        string  `json:"name"`
 	Sent        int     `json:"sent"`
@@ -30,10 +30,10 @@
 	Zones          []ZoneStats     `json:"zones"`
 	InjectedFaults []InjectedFault `json:"struck"`
 	Violations     []Violation     `json:"breaches"`
-	// ViolationCount counts all violations, also those that are not among Violations.
+	// ViolationCount is the number of all violations, including those that are not in Violations.
 	ViolationCount    int       `json:"broken"`
-	EventCount        int       `json:"seen"`   // events captured
-	UnreadableStreams int       `json:"unread"` // streams that could not be parsed to their end
+	EventCount        int       `json:"seen"`   // captured events that were passed to the checker
+	UnreadableStreams int       `json:"unread"` // SIP streams with a parse error
 	Samples           []Sample  `json:"course"`
 	Schedule          *Schedule `json:"schedule"`
 }
@@ -60,7 +60,7 @@
 	return res
 }
 
-// zoneStats returns what the callers of a zone got.
+// zoneStats returns the results of the callers in a zone.
 func (r *Run) zoneStats(zone int) ZoneStats {
 	s := loopback.NewLoadStats()
 	for _, c := range r.controllers {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Save writes the result and its schedule to files in dir: result.json and schedule.toml.
+// Save writes the result to result.json and its schedule to schedule.toml, both in dir.
 func (r *Result) Save(dir string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -93,7 +93,7 @@
 	return r.Schedule.Save(filepath.Join(dir, "schedule.toml"))
 }
 
-// Rows returns the zones as a table.
+// Rows returns the results of the zones as a table, with the heads of its columns.
 func (r *Result) Rows() (heading []string, rows [][]string) {
 	for _, z := range r.Zones {
 		rows = append(rows, []string{
--- a/internal/sim/cluster/run.go
+++ b/internal/sim/cluster/run.go
@@ -20,26 +20,26 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// Options say what Play runs.
+// Options configure Play.
 type Options struct {
-	Bin          string // folder of olivedale, oliveagent and olivesim
-	Dir          string // folder for files and records; Play makes it and leaves it
+	Bin          string // directory of the programs olivedale, oliveagent and olivesim
+	Dir          string // directory for files and records; Play creates it and does not remove it
 	Topology     Topology
-	Scenario     *scenario.Scenario // exchanges and callers; its fleet and faults are not used
+	Scenario     *scenario.Scenario // model of exchanges and callers; its fleet and faults are ignored
 	Schedule     *Schedule
-	CallDuration time.Duration // how long calls are offered
+	CallDuration time.Duration // how long callers send calls
 	Conditions   []Condition
-	Out          io.Writer // progress, as text; nil: none
+	Out          io.Writer // receives lines of progress; nil: none
 }
 
-// A Run is a cluster that runs. Its exported methods are safe for concurrent use while it does.
+// A Run is a running cluster. Its exported methods are safe for concurrent use while it runs.
 type Run struct {
 	options     Options
 	scenario    scenario.Scenario
 	rng         *rand.Rand
 	ports       Ports
 	parentWatch *parentWatch
-	signingKey  []byte // of the controllers' datagrams
+	signingKey  []byte // of datagrams between controllers
 	logFile     *os.File
 	monitor     *monitor
 	etcd        *fakeetcd.Server
@@ -47,30 +47,31 @@
 	controllers []*controller
 	agents      []*agent
 	slots       []*exchangeSlot
-	startTime   time.Time // when calls began
+	startTime   time.Time // start of calls; before it, start of the run
 
-	outMu sync.Mutex // of options.Out
+	outMu sync.Mutex // guards writes to options.Out
 
 	mu               sync.Mutex
 	proxies          []proxy
-	activePathFaults map[*Fault]bool // faults that are active on paths
+	activePathFaults map[*Fault]bool // faults of network paths that are active
 	injected         []InjectedFault
-	violations       []Violation // other than those of the monitor
+	violations       []Violation // other than those found by the monitor
 	samples          []Sample
 }
 
-// Streams of the random generators of a run; those of proxies are added to the number of a controller or of a pair.
+// Stream numbers of the random generators of a run. For proxies, the number of the controller or of the pair of
+// controllers is added.
 const (
 	runStream            = 17
 	discoveryProxyStream = 100
 	peerProxyStream      = 1000
 )
 
-// stopTimeout bounds the orderly end of all processes.
+// stopTimeout is how long agents may take to stop before they are killed.
 const stopTimeout = 20 * time.Second
 
-// Play runs a cluster and plays the schedule. It returns when everything that it started has ended. An error is one of
-// the harness; what the programs did wrong is in the Result.
+// Play runs a cluster and plays the schedule. It returns after everything that it started has ended. An error is a
+// failure of the harness itself; failures of the programs under test are violations in the Result.
 func Play(ctx context.Context, o Options) (res *Result, err error) {
 	if err := o.prepare(); err != nil {
 		return nil, err
@@ -83,7 +84,7 @@
 	return r.play(ctx)
 }
 
-// prepare checks the options, makes the folder and sets defaults.
+// prepare checks the options, creates the directory and sets defaults.
 func (o *Options) prepare() error {
 	if err := cmp.Or(o.Topology.Check(), o.Schedule.Check(&o.Topology)); err != nil {
 		return err
@@ -128,27 +129,27 @@
 	return r
 }
 
-// logf writes a line of progress, with the time of the run.
+// logf writes a line of progress, prefixed with the time since the start of calls.
 func (r *Run) logf(format string, args ...any) {
-	r.outMu.Lock() // faults may begin at the same time
+	r.outMu.Lock() // faults are injected concurrently
 	defer r.outMu.Unlock()
 	text := fmt.Sprintf(format, args...)
 	_, _ = fmt.Fprintf(r.options.Out, "%6.2fs  %s\n", time.Since(r.startTime).Seconds(), text)
 }
 
-// Ask sends a command to a controller's admin API.
+// Ask sends a command to a controller's admin API and returns its reply.
 func (r *Run) Ask(ctx context.Context, controller string, command *h248.Command) (*h248.Command, error) {
 	c := r.controller(controller)
 	if c == nil {
-		return nil, fmt.Errorf("cluster: there is no %s", controller)
+		return nil, fmt.Errorf("cluster: there is no controller %s", controller)
 	}
 	return adminapi.Send(ctx, c.admin, command)
 }
 
-// Etcd returns the store of the agents.
+// Etcd returns the etcd emulator in which agents find their instances.
 func (r *Run) Etcd() *fakeetcd.Server { return r.etcd }
 
-// stop ends everything that runs, in order where that is possible.
+// stop shuts everything down. Processes that have not ended after stopTimeout are killed.
 func (r *Run) stop() error {
 	for _, a := range r.agents {
 		a.terminate()
@@ -170,7 +171,7 @@
 	return err
 }
 
-// closeNetwork closes the proxies, discovery, the exchanges and the store.
+// closeNetwork closes the proxies, the name services, the exchanges and the store.
 func (r *Run) closeNetwork() {
 	for _, p := range r.proxies {
 		p.close()
--- a/internal/sim/cluster/shrink.go
+++ b/internal/sim/cluster/shrink.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Shrink returns a schedule with as few faults of s as it can find that still fails, or nil if s itself did not fail.
-// It first removes halves, then smaller parts, then single faults.
+// Shrink reduces s to a schedule with fewer faults that still fails, by delta debugging: it removes first halves, then
+// smaller chunks, then single faults. It returns nil if s itself does not fail.
 //
-// fails plays a schedule and reports whether the run failed. Real processes do not repeat themselves: a schedule is
-// played up to tries times, and counts as good if none of the plays fails.
+// fails plays a schedule and reports whether the run failed. Because runs of real processes are not reproducible, a
+// schedule is played up to tries times, and passes if no run fails.
 func Shrink(ctx context.Context, s *Schedule, tries int, fails func(*Schedule) (bool, error)) (*Schedule, error) {
 	k := &shrinker{seed: s.Seed, tries: tries, fails: fails}
 	faults := slices.Clone(s.Faults)
@@ -29,14 +29,14 @@
 	return &Schedule{Seed: s.Seed, Faults: faults}, nil
 }
 
-// A shrinker plays the schedules that Shrink tries.
+// A shrinker plays the candidate schedules of Shrink.
 type shrinker struct {
 	seed  uint64
 	tries int
 	fails func(*Schedule) (bool, error)
 }
 
-// removeChunks removes each part of size faults without which the schedule still fails.
+// removeChunks removes each chunk of size faults without which the schedule still fails.
 func (k *shrinker) removeChunks(ctx context.Context, faults []*Fault, size int) ([]*Fault, error) {
 	for from := 0; from < len(faults); {
 		rest := slices.Delete(slices.Clone(faults), from, min(from+size, len(faults)))
@@ -53,7 +53,7 @@
 	return faults, nil
 }
 
-// failsWith reports whether a schedule of the faults fails in one of the plays.
+// failsWith reports whether a schedule of the faults fails in one of up to tries runs.
 func (k *shrinker) failsWith(ctx context.Context, faults []*Fault) (bool, error) {
 	for range k.tries {
 		if err := ctx.Err(); err != nil {
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -13,19 +13,19 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// Times of the start.
+// Times of starting and of calls.
 const (
-	// startTimeout is how long controllers may take to serve, at first and after each end.
+	// startTimeout is how long controllers may take to serve, at the start of a run and after each restart.
 	startTimeout      = 30 * time.Second
 	startPollInterval = 50 * time.Millisecond
-	// callerTimeout is how long callers wait for the final answer.
+	// callerTimeout is how long callers wait for a final answer.
 	callerTimeout = 3 * time.Second
 )
 
 // signingKeyBytes is the length of the key that signs the controllers' datagrams.
 const signingKeyBytes = 32
 
-// start starts all parts and waits until the controllers serve.
+// start starts all components and waits until the controllers serve.
 func (r *Run) start(ctx context.Context) error {
 	if err := r.openFiles(); err != nil {
 		return err
@@ -55,7 +55,7 @@
 	return r.awaitServing(ctx)
 }
 
-// openFiles makes the log and the files of the parent watch.
+// openFiles creates the log file and the files of the parent watch.
 func (r *Run) openFiles() error {
 	var err error
 	if r.logFile, err = os.Create(filepath.Join(r.options.Dir, "log")); err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// prepareControllers makes the addresses and proxies of the controllers, and the load that calls them.
+// prepareControllers allocates the controllers' addresses, starts their proxies and configures the load generator.
 func (r *Run) prepareControllers() error {
 	t := &r.options.Topology
 	r.load = &loopback.Load{
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// prepareController makes the addresses of a controller, its discovery and the proxies on its paths.
+// prepareController allocates a controller's addresses and starts its name service and the proxies on its paths.
 func (r *Run) prepareController(c *controller) error {
 	var err error
 	if c.nameService, err = loopback.ListenNameService("127.0.0.1:0"); err != nil {
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// keyFile returns the path of the file of the signing key.
+// keyFile returns the path of the file with the signing key.
 func (r *Run) keyFile() string { return filepath.Join(r.options.Dir, "share.keys") }
 
-// connectPeers puts a proxy on each path between two controllers that take part in overload control.
+// connectPeers starts a proxy for each ordered pair of controllers if they exchange datagrams for overload control.
 func (r *Run) connectPeers() error {
 	if !r.options.Topology.Share {
 		return nil
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// writeSigningKey draws the signing key and writes its file.
+// writeSigningKey generates the signing key and writes it to its file.
 func (r *Run) writeSigningKey() error {
 	r.signingKey = make([]byte, signingKeyBytes)
 	for i := range r.signingKey {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// awaitServing waits until all controllers accept connections.
+// awaitServing waits until all controllers accept connections. It returns an error after startTimeout.
 func (r *Run) awaitServing(ctx context.Context) error {
 	end := time.Now().Add(startTimeout)
 	for {
@@ -205,11 +205,11 @@
 			}
 		}
 		if serving == len(r.controllers) {
-			r.logf("%d call controllers in %d zones take calls", serving, len(r.agents))
+			r.logf("%d call controllers in %d zones accept calls", serving, len(r.agents))
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("cluster: %d of %d call controllers take calls; the log is %s",
+			return fmt.Errorf("cluster: only %d of %d call controllers accept calls; the log is %s",
 				serving, len(r.controllers), r.logFile.Name())
 		}
 		if !pause(ctx, startPollInterval) {
