--- a/internal/sim/cluster/parentwatch_test.go
+++ b/internal/sim/cluster/parentwatch_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestParentWatchEndsProcesses checks that processes end with the run, whoever started them and however the run ends,
-// and that a process that has ended before is left alone.
+// TestParentWatchEndsProcesses checks that closing the pipe kills the processes that were started by command and by the
+// wrapper script, and that a process that ended before keeps its own exit status.
 func TestParentWatchEndsProcesses(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
@@ -24,7 +24,7 @@
 	}
 	sleep, err := exec.LookPath("sleep")
 	if err != nil {
-		t.Skip("no sleep here")
+		t.Skip("the program sleep is not installed")
 	}
 	watch, err := newParentWatch(t.TempDir(), self, sleep)
 	if err != nil {
@@ -42,13 +42,13 @@
 	short := start(exec.Command(watch.wrapperScript, "0.05"))
 	watched := []chan error{start(watch.command(sleep, "60")), start(exec.Command(watch.wrapperScript, "60"))}
 	if err := <-short; err != nil {
-		t.Errorf("a process that ends by itself: %v", err)
+		t.Errorf("process that exits by itself: %v", err)
 	}
-	time.Sleep(300 * time.Millisecond) // the watchers have started
+	time.Sleep(300 * time.Millisecond) // for the watchers to start
 	for i, ended := range watched {
 		select {
 		case err := <-ended:
-			t.Fatalf("process %d ended while its parent ran: %v", i, err)
+			t.Fatalf("process %d ended while its parent was running: %v", i, err)
 		default:
 		}
 	}
@@ -60,7 +60,7 @@
 		case err := <-ended:
 			var exit *exec.ExitError
 			if err == nil || !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-				t.Errorf("process %d ended by %v", i, err)
+				t.Errorf("process %d ended with %v, want SIGKILL", i, err)
 			}
 		case <-time.After(10 * time.Second):
 			t.Fatalf("process %d outlived its parent", i)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestWrapperScriptStartsDuringForks checks that a script that was just written can be executed while other processes
-// are being started.
+// TestWrapperScriptStartsDuringForks guards against ETXTBSY: a wrapper script that was just written must be executable
+// even if other goroutines fork processes at the same time.
 func TestWrapperScriptStartsDuringForks(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		if err := exec.Command(watch.wrapperScript).Run(); err != nil {
-			t.Errorf("start of a script that was just written: %v", err)
+			t.Errorf("executing a script that was just written: %v", err)
 		}
 		if err := watch.close(); err != nil {
 			t.Error(err)
@@ -104,8 +104,9 @@
 	forks.Wait()
 }
 
-// TestHoldAfterParentEndKillsProcess checks that Hold kills its process if the parent ended before Hold opened the
-// pipe. (Hold once waited for ever: under load, a controller was left behind by TestKilledRunLeavesNoProcess.)
+// TestHoldAfterParentEndKillsProcess checks that KillWithParent kills its process if the parent ended before
+// KillWithParent opened the pipe. Otherwise it would wait for ever: under load, TestKilledRunLeavesNoProcess left a
+// controller running.
 func TestHoldAfterParentEndKillsProcess(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "alive")
@@ -116,15 +117,15 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	held := make(chan error, 1)
-	go func() { held <- KillWithParent(path, c.Process.Pid) }()
+	done := make(chan error, 1)
+	go func() { done <- KillWithParent(path, c.Process.Pid) }()
 	select {
-	case err := <-held:
+	case err := <-done:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("Hold waits for a parent that has ended")
+		t.Error("KillWithParent still waits for a parent that has ended")
 	}
 	_ = c.Process.Kill()
 	_ = c.Wait()
--- a/internal/sim/cluster/proxy_test.go
+++ b/internal/sim/cluster/proxy_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// TestMain implements the command "hold" of olivesim in the program of the tests.
+// TestMain implements the command "hold" of olivesim, because the test binary takes the place of olivesim in the tests.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "hold" {
 		pid, err := strconv.Atoi(os.Args[3])
@@ -32,8 +32,8 @@
 	os.Exit(code)
 }
 
-// echo answers each line on a connection with the same line.
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP server that sends back what it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,34 +55,34 @@
 	return ln.Addr().String()
 }
 
-// captured keeps what an observer saw.
-type captured struct {
+// capturedTraffic stores the data and the ends of connections that an observer was called with, by direction.
+type capturedTraffic struct {
 	mu   sync.Mutex
 	data [2]strings.Builder
-	end  [2]int
+	ends [2]int
 }
 
-func (s *captured) observe(w Direction, b []byte) {
+func (s *capturedTraffic) observe(direction Direction, b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b == nil {
-		s.end[w]++
+		s.ends[direction]++
 	}
-	s.data[w].Write(b)
+	s.data[direction].Write(b)
 }
 
-func (s *captured) text(w Direction) string {
+func (s *capturedTraffic) text(direction Direction) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.data[w].String()
+	return s.data[direction].String()
 }
 
-// until waits until a condition is true, for 10 s at most.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until ok returns true, and fails the test after 10 s.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within 10 s", what)
+			t.Fatalf("timeout after 10 s: %s", what)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// receive waits for a line for a duration and returns "" if none arrives.
+// receive waits up to d for a line and returns it, or "" if none arrives.
 func (l *lineConn) receive(t *testing.T, d time.Duration) string {
 	t.Helper()
 	_ = l.SetReadDeadline(time.Now().Add(d))
@@ -121,16 +121,16 @@
 	return strings.TrimSpace(text)
 }
 
-// A streamFixture is a stream proxy in front of an echo server, with what its observers saw.
+// A streamFixture is a stream proxy in front of an echo server, with the traffic that its observers captured.
 type streamFixture struct {
 	*streamProxy
-	seen *captured
+	seen *capturedTraffic
 }
 
 func newStreamFixture(t *testing.T) *streamFixture {
 	t.Helper()
-	addr := echo(t)
-	seen := &captured{}
+	addr := startEchoServer(t)
+	seen := &capturedTraffic{}
 	target := func() string { return addr }
 	s, err := newStreamProxy("n0", "x0", target, func() observer { return seen.observe })
 	if err != nil {
@@ -140,7 +140,7 @@
 	return &streamFixture{s, seen}
 }
 
-// impair adds a fault to the proxy and returns the function that removes it.
+// impair adds an impairment to the proxy and returns a function that removes it.
 func (s *streamFixture) impair(i Impairment, directions ...Direction) (remove func()) {
 	f := &Fault{}
 	s.update(func() {
@@ -157,13 +157,14 @@
 	}
 }
 
+// TestStreamFaults checks the effect of each fault of streams on a connection through a proxy.
 func TestStreamFaults(t *testing.T) {
 	t.Parallel()
 	s := newStreamFixture(t)
 	c := dial(t, s.streamProxy)
 	c.send(t, "one")
 	if got := c.receive(t, 10*time.Second); got != "one" {
-		t.Fatalf("without a fault %q came back", got)
+		t.Fatalf("without a fault, received %q", got)
 	}
 	t.Run("one-way partition", func(t *testing.T) { testOneWayPartition(t, s, c) })
 	t.Run("delay", func(t *testing.T) { testDelay(t, s, c) })
@@ -174,69 +175,70 @@
 func testOneWayPartition(t *testing.T, s *streamFixture, c *lineConn) {
 	remove := s.impair(Impairment{Blocked: true}, Backward)
 	c.send(t, "two")
-	until(t, "the forward direction is open", func() bool { return strings.Contains(s.seen.text(Forward), "two") })
+	waitFor(t, "data arrives in the forward direction", func() bool { return strings.Contains(s.seen.text(Forward), "two") })
 	if got := c.receive(t, 100*time.Millisecond); got != "" || strings.Contains(s.seen.text(Backward), "two") {
-		t.Errorf("while the backward direction was blocked %q came back", got)
+		t.Errorf("while the backward direction was blocked, received %q", got)
 	}
 	remove()
 	if got := c.receive(t, 10*time.Second); got != "two" {
-		t.Errorf("after the partition %q came back", got)
+		t.Errorf("after the partition, received %q", got)
 	}
 }
 
 func testDelay(t *testing.T, s *streamFixture, c *lineConn) {
 	remove := s.impair(Impairment{Delay: 150 * time.Millisecond}, Forward, Backward)
 	defer remove()
-	began := time.Now()
+	start := time.Now()
 	c.send(t, "three")
-	if got := c.receive(t, 10*time.Second); got != "three" || time.Since(began) < 300*time.Millisecond {
-		t.Errorf("with 150 ms each way %q came back after %v", got, time.Since(began))
+	if got := c.receive(t, 10*time.Second); got != "three" || time.Since(start) < 300*time.Millisecond {
+		t.Errorf("with a delay of 150 ms each way, received %q after %v", got, time.Since(start))
 	}
 }
 
 func testBandwidthLimit(t *testing.T, s *streamFixture, c *lineConn) {
 	remove := s.impair(Impairment{BytesPerSecond: 20_000}, Forward)
 	defer remove()
-	began := time.Now()
+	start := time.Now()
 	for range 3 {
 		c.send(t, strings.Repeat("x", 4000))
 		c.receive(t, 10*time.Second)
 	}
-	if took := time.Since(began); took < 300*time.Millisecond {
+	if took := time.Since(start); took < 300*time.Millisecond {
 		t.Errorf("12 kB at 20 kB a second took %v", took)
 	}
 }
 
-// testHalfOpenAndReset runs last: it resets all connections.
+// testHalfOpenAndReset must run last, because it resets all connections.
 func testHalfOpenAndReset(t *testing.T, s *streamFixture) {
 	halfOpen := &Fault{Kind: FaultHalfOpen}
 	s.update(func() { s.halfOpen[halfOpen] = true })
 	c := dial(t, s.streamProxy)
 	c.send(t, "four")
 	if got := c.receive(t, 100*time.Millisecond); got != "" {
-		t.Errorf("a half-open connection delivered %q", got)
+		t.Errorf("a half-open connection forwarded %q", got)
 	}
 	s.update(func() { delete(s.halfOpen, halfOpen) })
 	if got := c.receive(t, 10*time.Second); got != "four" {
-		t.Errorf("once connections are forwarded, %q came back", got)
+		t.Errorf("after the half-open fault, received %q", got)
 	}
 
 	s.reset()
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("a connection outlived its reset")
+		t.Error("a connection is still open after a reset")
 	}
-	until(t, "the observer sees both ends", func() bool {
+	waitFor(t, "the observer is told the end of both connections", func() bool {
 		s.seen.mu.Lock()
 		defer s.seen.mu.Unlock()
-		return s.seen.end[Forward] >= 2
+		return s.seen.ends[Forward] >= 2
 	})
 	next := dial(t, s.streamProxy)
 	next.send(t, "five")
 	if got := next.receive(t, 10*time.Second); got != "five" {
-		t.Errorf("after a reset %q came back on a new connection", got)
+		t.Errorf("on a new connection after a reset, received %q", got)
 	}
 }
 
+// TestDatagramFaults checks the effect of each fault of datagrams on a hundred datagrams through a proxy.
 func TestDatagramFaults(t *testing.T) {
 	t.Parallel()
 	server, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -264,8 +266,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	// echoed counts how many of a hundred datagrams come back, and how many out of order.
-	echoed := func(direction Direction, impairment Impairment) (n, disorder int) {
+	// countEchoes sends a hundred datagrams and counts those that come back, and how many of them out of order.
+	countEchoes := func(direction Direction, impairment Impairment) (n, reordered int) {
 		f := &Fault{}
 		d.update(func() { d.impairments[direction][f] = impairment })
 		defer d.update(func() { delete(d.impairments[direction], f) })
@@ -279,28 +281,28 @@
 		for {
 			_ = c.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 			if _, err := c.Read(b); err != nil {
-				return n, disorder
+				return n, reordered
 			}
 			n++
 			if int(b[0]) < last {
-				disorder++
+				reordered++
 			}
 			last = int(b[0])
 		}
 	}
-	if n, disorder := echoed(Forward, Impairment{}); n != 100 || disorder != 0 {
-		t.Errorf("without a fault %d of 100 came back, %d out of order", n, disorder)
+	if n, reordered := countEchoes(Forward, Impairment{}); n != 100 || reordered != 0 {
+		t.Errorf("without a fault, %d of 100 came back, %d out of order", n, reordered)
 	}
-	if n, _ := echoed(Forward, Impairment{LossRate: 0.5}); n < 25 || n > 75 {
-		t.Errorf("with half lost %d of 100 came back", n)
+	if n, _ := countEchoes(Forward, Impairment{LossRate: 0.5}); n < 25 || n > 75 {
+		t.Errorf("with a loss rate of 0.5, %d of 100 came back", n)
 	}
-	if n, _ := echoed(Backward, Impairment{DuplicationRate: 0.5}); n < 125 || n > 175 {
-		t.Errorf("with half of them duplicated %d of 100 came back", n)
+	if n, _ := countEchoes(Backward, Impairment{DuplicationRate: 0.5}); n < 125 || n > 175 {
+		t.Errorf("with a duplication rate of 0.5, %d of 100 came back", n)
 	}
-	if n, disorder := echoed(Backward, Impairment{Jitter: 100 * time.Millisecond}); n != 100 || disorder < 10 {
-		t.Errorf("with up to 100 ms of jitter %d of 100 came back, %d out of order", n, disorder)
+	if n, reordered := countEchoes(Backward, Impairment{Jitter: 100 * time.Millisecond}); n != 100 || reordered < 10 {
+		t.Errorf("with up to 100 ms of jitter, %d of 100 came back, %d out of order", n, reordered)
 	}
-	if n, _ := echoed(Backward, Impairment{Blocked: true}); n != 0 {
-		t.Errorf("through a partition %d of 100 came back", n)
+	if n, _ := countEchoes(Backward, Impairment{Blocked: true}); n != 0 {
+		t.Errorf("through a partition, %d of 100 came back", n)
 	}
 }
