--- a/internal/sim/cluster/comparison_test.go
+++ b/internal/sim/cluster/comparison_test.go
@@ -11,11 +11,12 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// BenchmarkFloors compares virtual time with sockets on the same scenario: twelve controllers, twelve exchanges, no
-// caller tries twice.
-// go test -run '^$' -bench Floors -benchtime 1x ./internal/sim/cluster
+// BenchmarkFloors compares runs in virtual time with a run of real processes on sockets, on the same scenario: twelve
+// controllers, twelve exchanges, and no caller dials a second time. To run it:
+//
+//	go test -run '^$' -bench Floors -benchtime 1x ./internal/sim/cluster
 func BenchmarkFloors(b *testing.B) {
-	bin, err := programs()
+	bin, err := buildPrograms()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -26,7 +27,7 @@
 	}
 }
 
-// comparisonScenario is a scenario that means the same in virtual time and on sockets.
+// comparisonScenario returns a scenario that uses only what virtual time and sockets model alike.
 func comparisonScenario(load float64) scenario.Scenario {
 	sc := scenario.Default()
 	sc.Length = scenario.Duration(30 * time.Second)
@@ -36,7 +37,7 @@
 	sc.Callers.PreferenceInterval = scenario.DurationRange{}
 	sc.Callers.MaxRedials = 0
 	sc.Callers.Patience = [2]float64{1.0 / 3, 1.0 / 3}
-	// The latency of loopback.
+	// Latencies as on loopback.
 	near := scenario.DurationRange{scenario.Duration(50 * time.Microsecond), scenario.Duration(150 * time.Microsecond)}
 	sc.Network.Near = near
 	sc.Network.Far = near
@@ -44,11 +45,11 @@
 	return sc
 }
 
-// compareFloors logs the figures of 12 runs in virtual time and of one on sockets.
+// compareFloors logs the metrics of 12 runs in virtual time and of one run on sockets.
 func compareFloors(b *testing.B, bin string, load float64) {
 	b.Helper()
 	sc := comparisonScenario(load)
-	days, err := experiment.Play(b.Context(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
+	results, err := experiment.Play(b.Context(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -65,7 +66,7 @@
 	}
 	zone := res.Zones[0]
 	fraction := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
-	for _, figure := range []struct {
+	for _, metric := range []struct {
 		name    string
 		of      func(r *result.Result) float64
 		sockets float64
@@ -76,10 +77,10 @@
 		{"p99 ms", func(r *result.Result) float64 { return r.P99 }, zone.P99},
 	} {
 		var values []float64
-		for _, day := range days {
-			values = append(values, figure.of(day))
+		for _, r := range results {
+			values = append(values, metric.of(r))
 		}
-		b.Logf("load %v, %s: virtual %.3f, days from %.3f to %.3f; sockets %.3f; rules broken %d", load, figure.name,
-			experiment.Bootstrap(values, false).Mean, slices.Min(values), slices.Max(values), figure.sockets, res.ViolationCount)
+		b.Logf("load %v, %s: virtual time: mean %.3f, range %.3f to %.3f; sockets %.3f, rules violated %d times", load, metric.name,
+			experiment.Bootstrap(values, false).Mean, slices.Min(values), slices.Max(values), metric.sockets, res.ViolationCount)
 	}
 }
--- a/internal/sim/cluster/overload_test.go
+++ b/internal/sim/cluster/overload_test.go
@@ -10,7 +10,7 @@
 	"olivedale/internal/overload"
 )
 
-// overloadState asks a controller for its state in overload control.
+// overloadState returns the state of a controller's overload control, as read from its admin API.
 func (r *Run) overloadState(ctx context.Context, name string) (*overload.State, error) {
 	reply, err := r.Ask(ctx, name, adminapi.AuditCommand(adminapi.OverloadTermination))
 	if err != nil {
@@ -18,13 +18,13 @@
 	}
 	s := adminapi.ParseOverload(reply.Descriptors)
 	if s == nil {
-		return nil, fmt.Errorf("%s takes no part in overload control", name)
+		return nil, fmt.Errorf("%s has no overload control", name)
 	}
 	return s, nil
 }
 
-// checkOneAggregator returns an error unless all controllers have selected one aggregator and received its limits.
-// Controllers that ejected an aggregator are not counted: they pass it over for half a minute.
+// checkOneAggregator returns an error unless all controllers have selected the same aggregator and received limits from
+// it. Controllers that have ejected an aggregator are skipped: they do not select it for half a minute.
 func checkOneAggregator(ctx context.Context, r *Run) error {
 	selected := make(map[int][]string)
 	for _, n := range r.controllers {
@@ -41,29 +41,30 @@
 		}
 	}
 	if len(selected) > 1 {
-		return fmt.Errorf("the selected aggregators are %v", selected)
+		return fmt.Errorf("different aggregators are selected: %v", selected)
 	}
 	return nil
 }
 
-// TestOverloadControlUnderFaults runs nine controllers at 1.5 times the capacity of the exchanges: the aggregator is
-// killed, half of the controllers are partitioned from the others, three in ten datagrams are lost and the rest are
-// delayed, reordered and duplicated, a controller is paused for 3 s, and a byzantine peer sends forged reports of both
-// kinds. No rule is violated, calls are throttled, and all controllers select one aggregator in the end.
+// TestOverloadControlUnderFaults runs nine controllers at 1.5 times the capacity of the exchanges. The aggregator is
+// killed, half of the controllers are partitioned from the others, 30% of the datagrams are lost and the rest are
+// delayed, reordered and duplicated, a controller is paused for 3 s, and byzantine peers send forged reports of both
+// kinds. The test checks that no rule is violated, calls are throttled, and all controllers finally select one
+// aggregator.
 func TestOverloadControlUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	s := &Schedule{Seed: 5, Faults: []*Fault{
-		{At: at(2), Duration: at(8), Kind: FaultDatagramLoss, From: []string{"n*"}, To: []string{"n*"}, Fraction: 0.3},
-		{At: at(2.5), Duration: at(3), Kind: FaultPause, From: []string{"n4"}},
-		{At: at(3), Duration: at(3), Kind: FaultPartition, Name: "half", From: []string{"n0", "n2", "n6", "n8"}, To: []string{"n1", "n3", "n5", "n7"}},
-		{At: at(5), Duration: at(4), Kind: FaultReorder, From: []string{"n*"}, To: []string{"n*"}, Jitter: at(0.7)},
-		{At: at(5), Duration: at(4), Kind: FaultDatagramDuplication, From: []string{"n*"}, To: []string{"n*"}, Fraction: 0.5},
-		{At: at(6), Duration: at(3), Kind: FaultByzantinePeer, From: []string{"n3"}, Fraction: 1},
-		{At: at(7), Duration: at(3), Kind: FaultByzantinePeer, From: []string{"n7"}},
+		{At: seconds(2), Duration: seconds(8), Kind: FaultDatagramLoss, From: []string{"n*"}, To: []string{"n*"}, Fraction: 0.3},
+		{At: seconds(2.5), Duration: seconds(3), Kind: FaultPause, From: []string{"n4"}},
+		{At: seconds(3), Duration: seconds(3), Kind: FaultPartition, Name: "half", From: []string{"n0", "n2", "n6", "n8"}, To: []string{"n1", "n3", "n5", "n7"}},
+		{At: seconds(5), Duration: seconds(4), Kind: FaultReorder, From: []string{"n*"}, To: []string{"n*"}, Jitter: seconds(0.7)},
+		{At: seconds(5), Duration: seconds(4), Kind: FaultDatagramDuplication, From: []string{"n*"}, To: []string{"n*"}, Fraction: 0.5},
+		{At: seconds(6), Duration: seconds(3), Kind: FaultByzantinePeer, From: []string{"n3"}, Fraction: 1},
+		{At: seconds(7), Duration: seconds(3), Kind: FaultByzantinePeer, From: []string{"n7"}},
 	}}
-	o := options(t, s, 16*time.Second)
+	o := testOptions(t, s, 16*time.Second)
 	o.Scenario.Callers.Load = 1.5
 	o.Topology = Topology{Controllers: 9, Exchanges: 3, Zones: 3, Share: true}
 	var killed string
@@ -78,7 +79,7 @@
 		}
 		return nil
 	}
-	throttled := func(ctx context.Context, r *Run) error {
+	checkThrottled := func(ctx context.Context, r *Run) error {
 		n := 0
 		for _, name := range r.options.Topology.namesOfKind('n') {
 			s, err := r.overloadState(ctx, name)
@@ -90,23 +91,23 @@
 			}
 		}
 		if n < len(r.controllers)*2/3 {
-			return fmt.Errorf("%d of %d have throttled a call", n, len(r.controllers))
+			return fmt.Errorf("only %d of %d controllers have throttled a call", n, len(r.controllers))
 		}
 		return nil
 	}
 	o.Conditions = []Condition{
 		{Name: "one_aggregator_at_first", After: 500 * time.Millisecond, Deadline: 9 * time.Second, Check: checkOneAggregator},
 		{Name: "aggregator_killed", After: 6500 * time.Millisecond, Deadline: 9 * time.Second, Check: killAggregator},
-		{Name: "throttles", After: 2 * time.Second, Deadline: 15 * time.Second, Check: throttled},
+		{Name: "throttles", After: 2 * time.Second, Deadline: 15 * time.Second, Check: checkThrottled},
 		{Name: "one_aggregator", After: 11 * time.Second, Deadline: 16 * time.Second, Check: checkOneAggregator},
 	}
 	res := playWithoutViolations(t, o)
 	if killed == "" || len(res.InjectedFaults) != len(s.Faults) {
-		t.Errorf("%q was killed, %d of %d faults were injected", killed, len(res.InjectedFaults), len(s.Faults))
+		t.Errorf("killed aggregator %q, injected %d of %d faults", killed, len(res.InjectedFaults), len(s.Faults))
 	}
 	for _, z := range res.Zones {
 		if z.Established*10 < z.Sent*3 {
-			t.Errorf("%+v", z)
+			t.Errorf("fewer than 30%% of the calls were established: %+v", z)
 		}
 	}
 	t.Logf("%+v", res.Zones)
--- a/internal/sim/cluster/result_golden_test.go
+++ b/internal/sim/cluster/result_golden_test.go
@@ -16,12 +16,13 @@
 	`"schedule":{"seed":7,"step":[{"at":"1s","for":"2s","kind":"delay","name":"zone","from":["z0"],"to":["x*"],` +
 	`"by":"10ms","spread":"5ms","share":0.5,"factor":2,"rate":3}]}}`
 
-// TestResultMatchesGolden compares the keys of a result's JSON, which is the output of `olivesim run --json`.
+// TestResultMatchesGolden guards the JSON keys of a Result, which is the output of `olivesim run --json`, and of the
+// specification of an Instance, which agents read from etcd.
 func TestResultMatchesGolden(t *testing.T) {
 	t.Parallel()
 	step := &Fault{
-		At: at(1), Duration: at(2), Kind: FaultDelay, Name: "zone", From: []string{"z0"}, To: []string{"x*"},
-		Latency: at(0.01), Jitter: at(0.005), Fraction: 0.5, Factor: 2, BytesPerSecond: 3,
+		At: seconds(1), Duration: seconds(2), Kind: FaultDelay, Name: "zone", From: []string{"z0"}, To: []string{"x*"},
+		Latency: seconds(0.01), Jitter: seconds(0.005), Fraction: 0.5, Factor: 2, BytesPerSecond: 3,
 	}
 	res := &Result{
 		Seed: 7, Topology: Topology{Controllers: 2, Exchanges: 1, Zones: 1}, Duration: 10,
--- a/internal/sim/cluster/schedule_golden_test.go
+++ b/internal/sim/cluster/schedule_golden_test.go
@@ -14,15 +14,15 @@
 	"olivedale/internal/sim/scenario"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
 const (
 	goldenSchedules = "testdata/schedules.golden"
 	goldenSeeds     = 50
 )
 
-// TestDrawnSchedulesMatchGolden compares the schedules of 50 seeds on the fleet of each scenario, as files and as
-// text, with hashes that were taken before the package was restructured: a seed always gives the same schedule.
+// TestDrawnSchedulesMatchGolden checks that a seed always gives the same schedule. It compares hashes of the schedules
+// of 50 seeds, as files and as text, on the fleet of each scenario in deploy/sim.
 func TestDrawnSchedulesMatchGolden(t *testing.T) {
 	t.Parallel()
 	got := goldenLines(t)
@@ -50,7 +50,7 @@
 	}
 }
 
-// goldenLines has one line for each scenario, without and with overload control, and seed.
+// goldenLines returns a line for each scenario, each with and without overload control, and each seed.
 func goldenLines(t *testing.T) string {
 	t.Helper()
 	paths, err := filepath.Glob("../../../deploy/sim/*.toml")
@@ -81,7 +81,7 @@
 	return lines.String()
 }
 
-// scheduleHash is the hash of the schedule's file and of the text of its faults.
+// scheduleHash returns a hash of the schedule's file and of the text of its faults.
 func scheduleHash(t *testing.T, s *Schedule) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "schedule.toml")
--- a/internal/sim/cluster/schedule_test.go
+++ b/internal/sim/cluster/schedule_test.go
@@ -13,6 +13,9 @@
 	"olivedale/internal/sim/scenario"
 )
 
+// TestDrawnSchedulesAreValidAndSurviveAFile checks for many seeds and topologies that a drawn schedule is valid, can be
+// drawn again, is unchanged after writing and reading it, and leaves the last fifth for recovery. All kinds of faults
+// have to occur.
 func TestDrawnSchedulesAreValidAndSurviveAFile(t *testing.T) {
 	t.Parallel()
 	kinds := make(map[FaultKind]bool)
@@ -32,22 +35,23 @@
 		}
 		loaded, err := LoadSchedule(path)
 		if err != nil || !reflect.DeepEqual(s, loaded) {
-			t.Fatalf("seed %d: the schedule that was read differs from the one written: %v", seed, err)
+			t.Fatalf("seed %d: the schedule that was read differs from the one that was written: %v", seed, err)
 		}
 		for _, x := range s.Faults {
 			kinds[x.Kind] = true
 			if end := x.At.D() + x.Duration.D(); end > 16*time.Second {
-				t.Errorf("seed %d: %v ends at %v, the last fifth is for recovery", seed, x, end)
+				t.Errorf("seed %d: %v ends at %v, within the last fifth", seed, x, end)
 			}
 		}
 	}
 	for _, k := range slices.Concat(pathFaults, componentFaults, storeFaults) {
 		if !kinds[k] {
-			t.Errorf("no schedule has the fault %s", k)
+			t.Errorf("no drawn schedule has the fault %s", k)
 		}
 	}
 }
 
+// TestScheduleErrorsNameTheStep checks the errors of invalid faults and which components patterns match.
 func TestScheduleErrorsNameTheStep(t *testing.T) {
 	t.Parallel()
 	top := &Topology{Controllers: 4, Exchanges: 2, Zones: 2}
@@ -57,7 +61,7 @@
 		t.Fatal(err)
 	}
 	if _, err := LoadSchedule(unknown); err == nil || !strings.Contains(err.Error(), `"melt" is unknown, must be one of cut`) {
-		t.Errorf("a file with an unknown kind of fault: %v", err)
+		t.Errorf("file with an unknown kind of fault: %v", err)
 	}
 	for _, c := range []struct {
 		step Fault
@@ -84,12 +88,13 @@
 	}{{"z1", "a1 n1 n3 x1"}, {"n*", "n0 n1 n2 n3"}, {"names,x0", "names x0"}, {"*", "a0 a1 etcd n0 n1 n2 n3 names x0 x1"}} {
 		got, err := top.Match(strings.Split(c.patterns, ","))
 		if err != nil || strings.Join(got, " ") != c.want {
-			t.Errorf("%s names %v (%v), want %s", c.patterns, got, err, c.want)
+			t.Errorf("pattern %s matches %v (error %v), want %s", c.patterns, got, err, c.want)
 		}
 	}
 }
 
-// TestObserversDetectViolations checks that captured traffic shows each rule that it violates, and no other.
+// TestObserversDetectViolations checks which invariant is reported as violated for captured SIP traffic, and that
+// correct traffic violates none.
 func TestObserversDetectViolations(t *testing.T) {
 	t.Parallel()
 	invite := func(n string) string {
@@ -105,18 +110,18 @@
 		want invariant.Rule
 	}{
 		{"one attempt", func(_ *monitor, first, _ observer) { first(Forward, []byte(invite("1"))) }, ""},
-		{"rejected, and sent elsewhere at once", func(_ *monitor, first, second observer) {
+		{"rejected, then sent to another exchange at once", func(_ *monitor, first, second observer) {
 			first(Forward, []byte(invite("1")))
 			first(Backward, []byte(answer("503")))
 			second(Forward, []byte(invite("2")))
 		}, ""},
-		{"two attempts, in pieces", func(_ *monitor, first, second observer) {
+		{"two attempts at once, received byte by byte", func(_ *monitor, first, second observer) {
 			for _, c := range []byte(invite("1")) {
 				first(Forward, []byte{c})
 			}
 			second(Forward, []byte(invite("2")))
 		}, invariant.OneAttempt},
-		{"sent again at once after it was abandoned", func(_ *monitor, first, second observer) {
+		{"sent again at once after its attempt was canceled", func(_ *monitor, first, second observer) {
 			first(Forward, []byte(invite("1")+cancel))
 			second(Forward, []byte(invite("2")))
 		}, invariant.RetryGuardRespected},
@@ -143,13 +148,13 @@
 			got = all[0].Rule
 		}
 		if got != c.want || m.unreadableStreams != 0 {
-			t.Errorf("%s: %q is broken, want %q; %d streams unread", c.name, got, c.want, m.unreadableStreams)
+			t.Errorf("%s: violated rule %q, want %q; %d unreadable streams", c.name, got, c.want, m.unreadableStreams)
 		}
 	}
 }
 
-// TestPausedControllerIsExcused checks that a paused controller may be late, and counts as notified of what came
-// meanwhile when it continues; all other rules hold as before.
+// TestPausedControllerIsExcused checks that calls may be late at a controller that was paused, and that it counts
+// as notified of a draining exchange only when it resumes. Calls that are offered later get no exemption.
 func TestPausedControllerIsExcused(t *testing.T) {
 	t.Parallel()
 	c := invariant.New(invariant.DefaultLimits())
@@ -162,17 +167,18 @@
 	at(6, invariant.ControllerPaused, false)
 	at(6.1, invariant.AttemptSent, false)
 	at(6.2, invariant.CallRejected, false)
-	for _, b := range c.Violations() { // that it was sent on after its caller's time among them
+	for _, b := range c.Violations() { // also none for the attempt after the deadline
 		t.Errorf("%v", b)
 	}
 	c.Record(invariant.Event{At: 7 * time.Second, Kind: invariant.CallOffered, Controller: "n0", Call: "c2", Deadline: 8 * time.Second})
 	c.Record(invariant.Event{At: 8500 * time.Millisecond, Kind: invariant.AttemptSent, Controller: "n0", Call: "c2", Server: "x0"})
 	if c.Count(invariant.InTime) != 1 || c.Count(invariant.DrainRespected) != 1 {
-		t.Errorf("after it continued: %d in_time, %d drains_kept, want 1 each", c.Count(invariant.InTime), c.Count(invariant.DrainRespected))
+		t.Errorf("after the pause: %d violations of in_time and %d of drains_kept, want 1 each", c.Count(invariant.InTime), c.Count(invariant.DrainRespected))
 	}
 }
 
-// TestShrinkFindsNecessaryFaults finds the two faults that a failure needs, though one play in three hides it.
+// TestShrinkFindsNecessaryFaults checks that a schedule is reduced to the two faults that cause a failure, although
+// every third run passes.
 func TestShrinkFindsNecessaryFaults(t *testing.T) {
 	t.Parallel()
 	whole := DrawSchedule(&Topology{Controllers: 4, Exchanges: 2, Zones: 2}, 12, 20*time.Second, 5)
@@ -183,20 +189,20 @@
 		return plays%3 != 0 && slices.Contains(s.Faults, necessary[0]) && slices.Contains(s.Faults, necessary[1]), nil
 	})
 	if err != nil || shrunk == nil || !slices.Equal(shrunk.Faults, necessary) || shrunk.Seed != whole.Seed {
-		t.Fatalf("%+v, %v after %d plays", shrunk, err, plays)
+		t.Fatalf("shrunk to %+v, error %v, after %d runs", shrunk, err, plays)
 	}
 	shrunk, err = Shrink(t.Context(), whole, 3, func(*Schedule) (bool, error) { return false, nil })
 	if err != nil || shrunk != nil {
-		t.Errorf("a schedule that never fails is shrunk to %+v, %v", shrunk, err)
+		t.Errorf("a schedule that never fails was shrunk to %+v, error %v", shrunk, err)
 	}
 }
 
-// TestShippedSchedules checks that the schedules in deploy/sim can be played on the scenario that they name.
+// TestShippedSchedules checks that the schedules in deploy/sim/schedules are valid for the fleet of zones.toml.
 func TestShippedSchedules(t *testing.T) {
 	t.Parallel()
 	paths, err := filepath.Glob("../../../deploy/sim/schedules/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("no schedules: %v, error %v", paths, err)
 	}
 	sc, err := scenario.Load("../../../deploy/sim/zones.toml")
 	if err != nil {
