--- a/internal/sim/cluster/agent.go
+++ b/internal/sim/cluster/agent.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	r.addProxy(a.storeProxy)
-	if a.addr, err = r.ports.Free(); err != nil {
+	if a.addr, err = r.ports.Allocate(); err != nil {
 		return err
 	}
 	a.command = r.parentWatch.command(
--- a/internal/sim/cluster/controller.go
+++ b/internal/sim/cluster/controller.go
@@ -141,7 +141,7 @@
 
 // requestInstance writes a controller's specification to the store, so that the agent of its zone starts it.
 func (r *Run) requestInstance(c *controller) error {
-	gatewayListen, err := r.ports.Free()
+	gatewayListen, err := r.ports.Allocate()
 	if err != nil {
 		return err
 	}
--- a/internal/sim/cluster/ports.go
+++ b/internal/sim/cluster/ports.go
@@ -15,8 +15,8 @@
 	used map[string]bool
 }
 
-// Free returns a free address, as host:port.
-func (p *Ports) Free() (string, error) {
+// Allocate returns a free address, as host:port.
+func (p *Ports) Allocate() (string, error) {
 	for range maxPortAttempts {
 		addr, err := p.probe()
 		if err != nil {
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -131,7 +131,7 @@
 	}
 	r.addProxy(c.discoveryProxy)
 	for _, addr := range []*string{&c.listen, &c.admin} {
-		if *addr, err = r.ports.Free(); err != nil {
+		if *addr, err = r.ports.Allocate(); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 	}
 	for _, c := range r.controllers {
 		var err error
-		if c.overloadListen, err = r.ports.Free(); err != nil {
+		if c.overloadListen, err = r.ports.Allocate(); err != nil {
 			return err
 		}
 	}
--- a/internal/sim/demo/demo_test.go
+++ b/internal/sim/demo/demo_test.go
@@ -27,7 +27,7 @@
 	}
 	run := func(ctx context.Context, length time.Duration) (string, string) {
 		t.Helper()
-		agent, err := (&cluster.Ports{Host: "127.0.0.1"}).Free()
+		agent, err := (&cluster.Ports{Host: "127.0.0.1"}).Allocate()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/demo/start.go
+++ b/internal/sim/demo/start.go
@@ -119,7 +119,7 @@
 	}
 	for _, addr := range []*string{&instance.Listen, &instance.Admin, &instance.GatewayListen} {
 		var err error
-		if *addr, err = d.ports.Free(); err != nil {
+		if *addr, err = d.ports.Allocate(); err != nil {
 			return fmt.Errorf("demo: %w", err)
 		}
 	}
