--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -53,10 +53,10 @@
 // options returns the options of a run without its directory.
 func (f *clusterFlags) options(sc *scenario.Scenario, seed uint64, progress io.Writer) (cluster.Options, error) {
 	topology := cluster.Topology{
-		Controllers: sc.Fleet.Controllers,
-		Exchanges:   sc.Fleet.Exchanges,
-		Zones:       sc.Fleet.Zones,
-		Share:       sc.Fleet.OverloadControl,
+		Controllers:     sc.Fleet.Controllers,
+		Exchanges:       sc.Fleet.Exchanges,
+		Zones:           sc.Fleet.Zones,
+		OverloadControl: sc.Fleet.OverloadControl,
 	}
 	if err := topology.Check(); err != nil {
 		return cluster.Options{}, err
--- a/internal/sim/cluster/controller.go
+++ b/internal/sim/cluster/controller.go
@@ -169,7 +169,7 @@
 
 // overloadControl returns the section [share] of a controller's configuration, or nil without overload control.
 func (r *Run) overloadControl(c *controller) map[string]any {
-	if !r.options.Topology.Share {
+	if !r.options.Topology.OverloadControl {
 		return nil
 	}
 	var peers []string
--- a/internal/sim/cluster/draw.go
+++ b/internal/sim/cluster/draw.go
@@ -75,7 +75,7 @@
 	f := &Fault{At: d.randomDuration(0, d.length*3/5), Duration: d.randomDuration(d.length/20, d.length/5)}
 	d.zone = zoneName(d.rng.IntN(d.topology.Zones))
 	draws := drawFuncs
-	if d.topology.Share && d.topology.Controllers > 1 {
+	if d.topology.OverloadControl && d.topology.Controllers > 1 {
 		draws = slices.Concat(drawFuncs, peerDrawFuncs)
 	}
 	draws[d.rng.IntN(len(draws))](d, f)
--- a/internal/sim/cluster/fault.go
+++ b/internal/sim/cluster/fault.go
@@ -84,7 +84,7 @@
 		return errors.New("factor is missing")
 	case f.Duration == 0 && !f.Kind.isInstant():
 		return errors.New("for is missing: the fault needs a duration")
-	case f.Kind == FaultByzantinePeer && !t.Share:
+	case f.Kind == FaultByzantinePeer && !t.OverloadControl:
 		return errors.New("overload control between the controllers is off")
 	}
 	return nil
--- a/internal/sim/cluster/overload_test.go
+++ b/internal/sim/cluster/overload_test.go
@@ -66,7 +66,7 @@
 	}}
 	o := testOptions(t, s, 16*time.Second)
 	o.Scenario.Callers.Load = 1.5
-	o.Topology = Topology{Controllers: 9, Exchanges: 3, Zones: 3, Share: true}
+	o.Topology = Topology{Controllers: 9, Exchanges: 3, Zones: 3, OverloadControl: true}
 	var killed string
 	killAggregator := func(ctx context.Context, r *Run) error {
 		if killed == "" {
--- a/internal/sim/cluster/schedule_golden_test.go
+++ b/internal/sim/cluster/schedule_golden_test.go
@@ -72,7 +72,7 @@
 	for _, name := range names {
 		fleet := fleets[name]
 		for _, share := range []bool{false, true} {
-			top := &Topology{Controllers: fleet.Controllers, Exchanges: fleet.Exchanges, Zones: fleet.Zones, Share: share}
+			top := &Topology{Controllers: fleet.Controllers, Exchanges: fleet.Exchanges, Zones: fleet.Zones, OverloadControl: share}
 			for seed := range uint64(goldenSeeds) {
 				fmt.Fprintf(&lines, "%s share=%t seed=%d %s\n", name, share, seed, scheduleHash(t, DrawSchedule(top, 12, 20*time.Second, seed)))
 			}
--- a/internal/sim/cluster/schedule_test.go
+++ b/internal/sim/cluster/schedule_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	kinds := make(map[FaultKind]bool)
 	for seed := range uint64(200) {
-		top := &Topology{Controllers: 1 + int(seed%24), Exchanges: 1 + int(seed%7), Zones: 1 + int(seed%3), Share: seed%2 == 0}
+		top := &Topology{Controllers: 1 + int(seed%24), Exchanges: 1 + int(seed%7), Zones: 1 + int(seed%3), OverloadControl: seed%2 == 0}
 		top.Zones = min(top.Zones, top.Controllers)
 		s := DrawSchedule(top, 8, 20*time.Second, seed)
 		if err := s.Check(top); err != nil {
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -153,7 +153,7 @@
 
 // connectPeers starts a proxy for each ordered pair of controllers if they exchange datagrams for overload control.
 func (r *Run) connectPeers() error {
-	if !r.options.Topology.Share {
+	if !r.options.Topology.OverloadControl {
 		return nil
 	}
 	if err := r.writeSigningKey(); err != nil {
--- a/internal/sim/cluster/topology.go
+++ b/internal/sim/cluster/topology.go
@@ -13,8 +13,8 @@
 // kind is in zone i modulo the number of zones. The agent of a zone runs the controllers of the zone.
 type Topology struct {
 	Controllers, Exchanges, Zones int
-	// Share enables overload control between the controllers, with a network path between any two of them.
-	Share bool `json:",omitempty"`
+	// OverloadControl enables overload control between the controllers, with a network path between any two of them.
+	OverloadControl bool `json:"Share,omitempty"`
 }
 
 // componentKind is the kind of a component: the first letter of its name.
@@ -156,7 +156,7 @@
 	}
 	switch kindOf(a) {
 	case kindController:
-		isPeer := kindOf(b) == kindController && t.Share && a != b
+		isPeer := kindOf(b) == kindController && t.OverloadControl && a != b
 		return isPeer || kindOf(b) == kindExchange
 	case kindAgent:
 		isOwnController := kindOf(b) == kindController && t.zoneOf(a) == t.zoneOf(b)
