--- a/internal/sim/cluster/condition.go
+++ b/internal/sim/cluster/condition.go
@@ -35,7 +35,7 @@
 type Violation struct {
 	Rule        string   `json:"rule"`
 	Text        string   `json:"text"`
-	Node        string   `json:"node,omitempty"`
+	Controller  string   `json:"node,omitempty"`
 	Call        string   `json:"call,omitempty"`
 	At          float64  `json:"at_s"`
 	LatestFault string   `json:"step,omitempty"`
@@ -56,10 +56,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := Violation{
-		Rule: rule,
-		Node: controller,
-		Text: fmt.Sprintf(format, args...),
-		At:   time.Since(r.startTime).Seconds(),
+		Rule:       rule,
+		Controller: controller,
+		Text:       fmt.Sprintf(format, args...),
+		At:         time.Since(r.startTime).Seconds(),
 	}
 	if n := len(r.injected); n > 0 {
 		v.LatestFault = r.injected[n-1].Fault.String()
--- a/internal/sim/cluster/monitor.go
+++ b/internal/sim/cluster/monitor.go
@@ -144,7 +144,7 @@
 	m.checker.Finish(time.Since(m.startTime))
 	var all []Violation
 	for _, b := range m.checker.Violations() {
-		v := Violation{Rule: string(b.Rule), Text: b.Text, Node: b.Controller, Call: b.Call, At: b.At.Seconds()}
+		v := Violation{Rule: string(b.Rule), Text: b.Text, Controller: b.Controller, Call: b.Call, At: b.At.Seconds()}
 		for _, f := range injected {
 			if f.At <= v.At {
 				v.LatestFault = f.Fault.String()
