--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -216,7 +216,7 @@
 func printClusterViolations(w io.Writer, res *cluster.Result) {
 	for _, breach := range res.Violations {
 		_, _ = fmt.Fprintln(w, breach)
-		for _, event := range breach.Around {
+		for _, event := range breach.PrecedingEvents {
 			_, _ = fmt.Fprintln(w, "  ", event)
 		}
 	}
--- a/internal/sim/cluster/condition.go
+++ b/internal/sim/cluster/condition.go
@@ -33,13 +33,13 @@
 
 // A Violation is an invariant or a condition that did not hold, with its context.
 type Violation struct {
-	Rule        string   `json:"rule"`
-	Text        string   `json:"text"`
-	Controller  string   `json:"node,omitempty"`
-	Call        string   `json:"call,omitempty"`
-	At          float64  `json:"at_s"`
-	LatestFault string   `json:"step,omitempty"`
-	Around      []string `json:"around,omitempty"` // events before the violation
+	Rule            string   `json:"rule"`
+	Text            string   `json:"text"`
+	Controller      string   `json:"node,omitempty"`
+	Call            string   `json:"call,omitempty"`
+	At              float64  `json:"at_s"`
+	LatestFault     string   `json:"step,omitempty"`
+	PrecedingEvents []string `json:"around,omitempty"` // events before the violation
 }
 
 // String implements fmt.Stringer.
--- a/internal/sim/cluster/monitor.go
+++ b/internal/sim/cluster/monitor.go
@@ -151,7 +151,7 @@
 			}
 		}
 		for _, e := range b.Events {
-			v.Around = append(v.Around, e.String())
+			v.PrecedingEvents = append(v.PrecedingEvents, e.String())
 		}
 		all = append(all, v)
 	}
--- a/internal/sim/cluster/result_golden_test.go
+++ b/internal/sim/cluster/result_golden_test.go
@@ -28,7 +28,7 @@
 		Seed: 7, Topology: Topology{Controllers: 2, Exchanges: 1, Zones: 1}, Duration: 10,
 		Zones:          []ZoneStats{{Name: "z0", Sent: 1, Established: 2, Rejected: 3, Failed: 4, Dropped: 5, P50: 6.5, P99: 7.5}},
 		InjectedFaults: []InjectedFault{{At: 1.25, Fault: step}},
-		Violations:     []Violation{{Rule: "no_crash", Text: "n0 ended", Controller: "n0", Call: "c1", At: 2.5, LatestFault: "1s delay z0", Around: []string{"a"}}},
+		Violations:     []Violation{{Rule: "no_crash", Text: "n0 ended", Controller: "n0", Call: "c1", At: 2.5, LatestFault: "1s delay z0", PrecedingEvents: []string{"a"}}},
 		ViolationCount: 1, EventCount: 8, UnreadableStreams: 9, Samples: []Sample{{At: 1, Sent: []int{1}, Established: []int{2}}},
 		Schedule: &Schedule{Seed: 7, Faults: []*Fault{step}},
 	}
--- a/internal/sim/cluster/run_test.go
+++ b/internal/sim/cluster/run_test.go
@@ -148,7 +148,7 @@
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, b := range res.Violations {
-		t.Errorf("%v\n  %s", b, strings.Join(b.Around, "\n  "))
+		t.Errorf("%v\n  %s", b, strings.Join(b.PrecedingEvents, "\n  "))
 	}
 	return res
 }
