--- a/internal/sim/cluster/overload_test.go
+++ b/internal/sim/cluster/overload_test.go
@@ -12,7 +12,7 @@
 
 // overloadState returns the state of a controller's overload control, as read from its admin API.
 func (r *Run) overloadState(ctx context.Context, name string) (*overload.State, error) {
-	reply, err := r.Ask(ctx, name, adminapi.AuditCommand(adminapi.OverloadTermination))
+	reply, err := r.SendCommand(ctx, name, adminapi.AuditCommand(adminapi.OverloadTermination))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/cluster/run.go
+++ b/internal/sim/cluster/run.go
@@ -137,8 +137,8 @@
 	_, _ = fmt.Fprintf(r.options.Out, "%6.2fs  %s\n", time.Since(r.startTime).Seconds(), text)
 }
 
-// Ask sends a command to a controller's admin API and returns its reply.
-func (r *Run) Ask(ctx context.Context, controller string, command *h248.Command) (*h248.Command, error) {
+// SendCommand sends a command to a controller's admin API and returns its reply.
+func (r *Run) SendCommand(ctx context.Context, controller string, command *h248.Command) (*h248.Command, error) {
 	c := r.controller(controller)
 	if c == nil {
 		return nil, fmt.Errorf("cluster: there is no controller %s", controller)
--- a/internal/sim/cluster/run_test.go
+++ b/internal/sim/cluster/run_test.go
@@ -114,7 +114,7 @@
 		if starts < 2 {
 			return fmt.Errorf("the agent of %s has started it only %d times", name, starts)
 		}
-		if _, err := r.Ask(ctx, name, adminapi.AuditCommand("ROOT")); err != nil {
+		if _, err := r.SendCommand(ctx, name, adminapi.AuditCommand("ROOT")); err != nil {
 			return err
 		}
 	}
