--- a/internal/sim/cluster/instance.go
+++ b/internal/sim/cluster/instance.go
@@ -66,9 +66,9 @@
 // knownEndpoints returns the list of endpoints that the platform gives to a controller at its start.
 func (i *Instance) knownEndpoints() config.KnownEndpoints {
 	var endpoints []config.Endpoint
-	for _, l := range i.Endpoints {
+	for _, e := range i.Endpoints {
 		endpoints = append(endpoints, config.Endpoint{
-			ID: l.ID, Address: l.Addr, Zone: l.Zone, Kind: endpointKind, Pool: l.Pool, Phase: config.PhaseReady,
+			ID: e.ID, Address: e.Addr, Zone: e.Zone, Kind: endpointKind, Pool: e.Pool, Phase: config.PhaseReady,
 		})
 	}
 	list := config.EndpointList{Complete: true, Endpoints: endpoints}
