--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// validConfig is a platform file without errors.
+// validConfig is a valid platform file.
 const validConfig = `{"name":"n3","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"names":"10.2.0.1:8600",
  "known":{"n":1,"events":[{"n":1,"members":{"revision":1,"complete":true,"members":[
@@ -56,7 +56,7 @@
 	}
 }
 
-// Errors of the platform's file name the key.
+// Errors in the platform's file contain the key as the field of a KeyError.
 func TestConfigurationErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct {
 		key  string
@@ -87,19 +87,19 @@
 	}
 	o, err := ParseOperator(text)
 	if err != nil || len(o.H248.Servers) != 1 || o.H248.Servers[0].ID != "s-h248-1" || o.Records.Total != 512<<20 {
-		t.Errorf("the example: %+v, %v", o, err)
+		t.Errorf("example file: %+v, %v", o, err)
 	}
-	// Every key of the example has a comment with its default, or with "no default".
+	// Every key in the example file has a comment that gives its default or says "no default".
 	for i, line := range strings.Split(string(text), "\n") {
 		hasKey := strings.Contains(line, " = ")
 		namesDefault := strings.Contains(line, "# ") && strings.Contains(line, "default")
 		if hasKey && !namesDefault {
-			t.Errorf("line %d of the example has no comment with the default: %s", i+1, line)
+			t.Errorf("line %d of the example file has no comment with the default: %s", i+1, line)
 		}
 	}
 	o, usesH248Path, err := LoadOperator(t.TempDir())
 	if o == nil || o.H248 != nil || o.Records != nil || usesH248Path || err != nil {
-		t.Errorf("no file: %+v, %v, %v", o, usesH248Path, err)
+		t.Errorf("missing file: %+v, %v, %v", o, usesH248Path, err)
 	}
 	o, err = ParseOperator([]byte("[records]\ndir = \"/x\""))
 	if err != nil || o.Records.Queue != 1<<20 || o.Records.Sync != Duration(200*time.Millisecond) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Errors of the operator's file name line and key.
+// Errors in the operator's file begin with the line and, where known, the key.
 func TestInvalidOperatorFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"": "line 1: log",
@@ -131,7 +131,7 @@
 	}
 }
 
-// Programs can find line and key of an error without reading its text.
+// The line and the key of an error are available as fields, without parsing its text.
 func TestOperatorErrorTypes(t *testing.T) {
 	_, err := ParseOperator([]byte("[records]\ndir = \"x\"\nodd = 1"))
 	var lineError *LineError
@@ -144,7 +144,7 @@
 	}
 }
 
-// The deprecated file of the H.248 frontend still switches it on, but not together with section [h248].
+// The deprecated file of the H.248 frontend still enables it, but is rejected together with section [h248].
 func TestDeprecatedH248File(t *testing.T) {
 	root := t.TempDir()
 	write := func(name, text string) {
--- a/internal/config/endpoint.go
+++ b/internal/config/endpoint.go
@@ -9,7 +9,8 @@
 	"olivedale/internal/admission"
 )
 
-// KnownEndpoints holds the events of the endpoint list up to the start. It is the value of the key "known".
+// KnownEndpoints holds the changes of the endpoint list that preceded the start of the controller. It is the value of
+// the key "known".
 type KnownEndpoints struct {
 	LastEvent int             `json:"n"` // number of the latest event
 	Events    []EndpointEvent `json:"events"`
@@ -21,14 +22,14 @@
 	Endpoints EndpointList `json:"members"`
 }
 
-// An EndpointList is the complete list or, unless Complete, what changed in it.
+// An EndpointList is the complete list or, if Complete is false, only the endpoints that changed.
 type EndpointList struct {
 	Revision  int        `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"`
 }
 
-// An Endpoint is one server that takes calls. Its JSON keys are the platform's.
+// An Endpoint is one server that accepts calls. The platform defines its JSON keys.
 type Endpoint struct {
 	ID      string `json:"id"`
 	Address string `json:"host_port"`
@@ -41,22 +42,22 @@
 
 // Phases of an Endpoint, as the platform writes them.
 const (
-	PhaseReady       = "Ready"       // takes new calls
-	PhaseTerminating = "Terminating" // keeps its calls and takes no new ones
-	PhaseGone        = "Gone"        // is removed from the list
+	PhaseReady       = "Ready"       // accepts new calls
+	PhaseTerminating = "Terminating" // keeps its calls but accepts no new ones
+	PhaseGone        = "Gone"        // removed from the list
 )
 
-// serverStates is the one place that translates phases to states of the decision module.
+// serverStates maps phases to the states of package admission. No other code translates phases.
 var serverStates = map[string]admission.ServerState{
 	PhaseReady:       admission.Active,
 	PhaseTerminating: admission.Draining,
 	PhaseGone:        admission.Removed,
 }
 
-// errNoEndpointID is the error of an endpoint whose key "id" is empty.
-var errNoEndpointID = errors.New("a member has no id")
+// errNoEndpointID reports an element of "members" whose key "id" is missing or empty.
+var errNoEndpointID = errors.New("member without an id")
 
-// Validate returns an error that begins with the endpoint's ID if a value is invalid.
+// Validate returns an error for the first invalid value. It begins with the endpoint's ID, unless that is missing.
 func (e *Endpoint) Validate() error {
 	if e.ID == "" {
 		return errNoEndpointID
@@ -73,10 +74,10 @@
 	return nil
 }
 
-// State returns the phase as a state of the decision module. The endpoint must be valid.
+// State returns the phase as a state of package admission. The endpoint must be valid.
 func (e *Endpoint) State() admission.ServerState { return serverStates[e.Phase] }
 
-// Server returns the endpoint in the form of the decision module.
+// Server converts the endpoint to a server of package admission.
 func (e *Endpoint) Server() admission.Server {
 	return admission.Server{
 		ID:      e.ID,
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// ErrUnknownKey says that a key of the operator's file has no meaning.
+// ErrUnknownKey reports a key in the operator's file that does not exist.
 var ErrUnknownKey = errors.New("unknown key")
 
 // A KeyError is an error in the value of one key.
 type KeyError struct {
-	Key string // with its tables, as in "h248.server.id"
+	Key string // qualified by its tables, as in "h248.server.id"
 	Err error
 }
 
-// Error returns the key and what is wrong with it.
+// Error returns the key and the cause.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // keyErrorf returns a KeyError with a formatted cause.
@@ -25,7 +25,7 @@
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// inSection puts the name of a section before the key of an error.
+// inSection qualifies the key of an error with the name of its section.
 func inSection(section string, err error) error {
 	var keyError *KeyError
 	if errors.As(err, &keyError) {
@@ -36,12 +36,12 @@
 
 // A LineError is an error in one line of the operator's file.
 type LineError struct {
-	Line int // from 1 on
+	Line int // the first line is 1
 	Err  error
 }
 
-// Error returns the line and what is wrong in it.
+// Error returns the line and the cause.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong in the line.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
--- a/internal/config/h248.go
+++ b/internal/config/h248.go
@@ -9,13 +9,14 @@
 	"github.com/BurntSushi/toml"
 )
 
-// H248Path is the deprecated file that held the section [h248] alone, from the root.
+// H248Path is the path, relative to the root directory, of the deprecated file that contains only the keys of section
+// [h248].
 const H248Path = "deploy/h248.toml"
 
-// H248 is the section [h248], which switches the H.248 frontend on.
+// H248 is the section [h248], which enables the H.248 frontend.
 type H248 struct {
 	Listen  string       `toml:"listen" json:"listen"` // host:port for media gateways
-	Admin   string       `toml:"admin" json:"admin"`   // loopback host:port for the agent and olivectl; "": none
+	Admin   string       `toml:"admin" json:"admin"`   // loopback host:port for the agent and olivectl; "": disabled
 	Servers []H248Server `toml:"server" json:"server"` // call servers that speak H.248
 }
 
@@ -26,7 +27,7 @@
 	Pool    int    `toml:"pool" json:"pool"`
 }
 
-// LoadH248 reads the deprecated file at path. It returns nil, nil if there is none.
+// LoadH248 reads the deprecated file at path. It returns nil, nil if the file does not exist.
 func LoadH248(path string) (*H248, error) {
 	var h H248
 	meta, err := toml.DecodeFile(path, &h)
@@ -56,7 +57,7 @@
 	return h.checkServers()
 }
 
-// checkAdmin permits loopback addresses only, because a client of this port can drain the program.
+// checkAdmin accepts only a loopback address, because any client of this port can drain the controller.
 func (h *H248) checkAdmin() error {
 	if h.Admin == "" {
 		return nil
@@ -78,7 +79,7 @@
 			return keyErrorf("server.address", "server %q: %w", server.ID, err)
 		}
 		if server.ID == "" || seen[server.ID] {
-			return keyErrorf("server.id", "%q is empty or used twice", server.ID)
+			return keyErrorf("server.id", "%q is empty or not unique", server.ID)
 		}
 		seen[server.ID] = true
 	}
--- a/internal/config/keyline.go
+++ b/internal/config/keyline.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// lineOf returns the line, from 1 on, in which a valid TOML text sets a dotted key; the parser does not report the
-// positions of keys. For an absent key it returns the line of the innermost table around it, or 1. For a table that
-// occurs several times ([[h248.server]]) it returns the first line with the key.
+// lineOf returns the number of the line, starting from 1, that sets a dotted key in a valid TOML text. It exists because
+// the TOML parser does not report the positions of keys. For an absent key it returns the line of the innermost
+// enclosing table, or 1. For an array of tables ([[h248.server]]) it returns the first line that sets the key.
 func lineOf(text []byte, key string) int {
 	found := 1
 	longest := 0
@@ -29,7 +29,7 @@
 	return found
 }
 
-// tableName returns the name in a line [name] or [[name]].
+// tableName returns the name in a table header, [name] or [[name]].
 func tableName(line string) (name string, isTable bool) {
 	name, isTable = strings.CutPrefix(strings.TrimSpace(line), "[")
 	if !isTable {
@@ -50,7 +50,7 @@
 	return normalizeKey(name), isSetting
 }
 
-// normalizeKey removes blanks and quotes around the parts of a dotted key.
+// normalizeKey removes white space and quotes around the parts of a dotted key.
 func normalizeKey(key string) string {
 	parts := strings.Split(key, ".")
 	for i, part := range parts {
--- a/internal/config/numbering.go
+++ b/internal/config/numbering.go
@@ -5,25 +5,25 @@
 	"net/netip"
 )
 
-// Numbering is the section [numbers], which switches routing by the called number on.
+// Numbering is the section [numbers], which enables routing by the called number.
 type Numbering struct {
 	File   string `toml:"file" json:"file"`   // routing rules; docs/operate/numbering.md describes them
-	State  string `toml:"state" json:"state"` // directory for versions loaded in service; "": a restart loses them
+	State  string `toml:"state" json:"state"` // directory for versions loaded at run time; "": a restart loses them
 	Lookup Lookup `toml:"lookup" json:"lookup"`
 }
 
-// Lookup is the section [numbers.lookup]: the look-up of ported numbers. Without servers there is none, and ported
-// numbers are routed as they are.
+// Lookup is the section [numbers.lookup], the look-up of ported numbers. Without servers the look-up is disabled, and
+// ported numbers are routed unchanged.
 type Lookup struct {
-	Servers  []string `toml:"servers" json:"servers"`   // host:port in the order of preference
-	Suffix   string   `toml:"suffix" json:"suffix"`     // domain of the numbers
-	Share    float64  `toml:"share" json:"share"`       // part of the caller's time that a look-up may take
-	Fallback string   `toml:"fallback" json:"fallback"` // FallbackRoute or FallbackRefuse, without a timely answer
+	Servers  []string `toml:"servers" json:"servers"`   // host:port in order of preference
+	Suffix   string   `toml:"suffix" json:"suffix"`     // domain that contains the numbers
+	Share    float64  `toml:"share" json:"share"`       // fraction of the caller's time that a look-up may take
+	Fallback string   `toml:"fallback" json:"fallback"` // if no answer arrives in time: FallbackRoute or FallbackRefuse
 }
 
 // Values of Lookup.Fallback.
 const (
-	FallbackRoute  = "route"  // route the number as it is
+	FallbackRoute  = "route"  // route the number unchanged
 	FallbackRefuse = "refuse" // reject the call
 )
 
@@ -33,16 +33,16 @@
 	defaultLookupShare  = 0.25
 )
 
-// Bounds of Lookup.
+// Limits of Lookup.
 const (
 	maxLookupServers = 8
 	maxLookupShare   = 0.5
 )
 
-// Validate fills in the defaults and returns a KeyError for the first invalid key. It does not read the rules.
+// Validate applies the defaults and returns a KeyError for the first invalid key. It does not read the routing rules.
 func (n *Numbering) Validate() error {
 	if n.File == "" {
-		return keyErrorf("file", "missing; name the file of rules")
+		return keyErrorf("file", "missing; set it to the path of the routing rules")
 	}
 	n.Lookup.applyDefaults()
 	if err := n.Lookup.validate(); err != nil {
@@ -65,7 +65,7 @@
 	}
 	switch {
 	case len(l.Servers) > maxLookupServers:
-		return keyErrorf("servers", "%d are more than %d", len(l.Servers), maxLookupServers)
+		return keyErrorf("servers", "%d servers; the maximum is %d", len(l.Servers), maxLookupServers)
 	case l.Share < 0 || l.Share > maxLookupShare:
 		return keyErrorf("share", "%v is not between 0 and %v", l.Share, maxLookupShare)
 	case l.Fallback != FallbackRoute && l.Fallback != FallbackRefuse:
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,11 +13,11 @@
 	"olivedale/internal/logging"
 )
 
-// OperatorPath is the path of the operator's file, from the root.
+// OperatorPath is the path of the operator's file, relative to the root directory.
 const OperatorPath = "deploy/olivedale.toml"
 
-// An Operator is the content of the operator's file. An absent section switches its function off; the zero value is
-// a program without a file. deploy/olivedale.example.toml documents all keys.
+// An Operator is the parsed operator's file. A feature whose section is absent is disabled; the zero value stands for a
+// missing file. deploy/olivedale.example.toml documents all keys.
 type Operator struct {
 	Log       Log              `toml:"log"`
 	H248      *H248            `toml:"h248"`
@@ -26,22 +26,22 @@
 	Overload  *OverloadControl `toml:"share"`
 }
 
-// Log is the section [log], the form of log lines.
+// Log is the section [log], the format and level of log lines.
 type Log struct {
 	Form  string `toml:"form"`  // text (default) or json
 	Level string `toml:"level"` // debug, info (default), warn, error
 }
 
-// Options returns the section as options of the logger.
+// Options converts the section to options of package logging.
 func (l Log) Options() logging.Options { return logging.Options{Form: l.Form, Level: l.Level} }
 
-// A section is a part of the operator's file that is present.
+// A section is an optional section that is present in the operator's file.
 type section struct {
-	name    string // as in the file
+	name    string // as written in the file
 	content interface{ Validate() error }
 }
 
-// sections returns the optional sections that are present, in the order in which they are checked.
+// sections returns the optional sections that are present, in the order in which they are validated.
 func (o *Operator) sections() []section {
 	var present []section
 	if o.H248 != nil {
@@ -59,7 +59,7 @@
 	return present
 }
 
-// Validate fills in the defaults and returns a KeyError for the first invalid key.
+// Validate applies the defaults and returns a KeyError for the first invalid key.
 func (o *Operator) Validate() error {
 	if err := o.Log.Options().Check(); err != nil {
 		return &KeyError{"log", err}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// ParseOperator reads the text of an operator's file. Its errors name line and key.
+// ParseOperator parses and validates the text of an operator's file. Its errors contain the line and the key.
 func ParseOperator(text []byte) (*Operator, error) {
 	var o Operator
 	meta, err := toml.Decode(string(text), &o)
@@ -93,10 +93,10 @@
 	return &o, nil
 }
 
-// decodeError makes an error of the TOML decoder look like the others.
+// decodeError converts an error of the TOML decoder to a LineError with a KeyError.
 func decodeError(err error) error {
 	var parseError toml.ParseError
-	if !errors.As(err, &parseError) { // a value of a wrong type: the text already names line and key
+	if !errors.As(err, &parseError) { // a value has the wrong type: the text already contains the line and the key
 		return errors.New(strings.TrimPrefix(err.Error(), "toml: "))
 	}
 	cause := errors.New(parseError.Message)
@@ -109,9 +109,9 @@
 	return &LineError{parseError.Position.Line, cause}
 }
 
-// LoadOperator reads the operator's file under root; "" is the working directory. Without a file all sections are
-// absent. Where the operator's file has no section [h248], the deprecated file at H248Path supplies it, and
-// usesH248Path is true.
+// LoadOperator reads the operator's file below root; "" is the working directory. If the file does not exist, all
+// sections are absent. If the file has no section [h248] but the deprecated file at H248Path exists, that file supplies
+// the section and usesH248Path is true.
 func LoadOperator(root string) (o *Operator, usesH248Path bool, err error) {
 	path := filepath.Join(root, OperatorPath)
 	if o, err = readOperator(path); err != nil {
@@ -132,7 +132,7 @@
 	return o, true, nil
 }
 
-// readOperator reads the file at path; without one it returns the zero value.
+// readOperator reads the file at path. It returns the zero value if the file does not exist.
 func readOperator(path string) (*Operator, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -148,7 +148,7 @@
 	return o, nil
 }
 
-// CheckOperator returns an error if the file at path is absent or invalid.
+// CheckOperator returns an error if the operator's file at path does not exist or is invalid.
 func CheckOperator(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/overload_test.go
+++ b/internal/config/overload_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The number of a controller comes from the operator's file, else from the platform, else from its address.
+// The number of a controller is taken from the operator's file, else from the platform, else from the index of its
+// address in the list of peers.
 func TestResolvePeers(t *testing.T) {
 	three := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	one, nine := 1, 9
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -43,13 +43,13 @@
 	Settings         json.RawMessage `json:"settings"`
 }
 
-// platformLimits are the resources that the platform gives the process.
+// platformLimits are the resources that the platform allots to the process.
 type platformLimits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// platformSettings are the settings that only the program uses; simproto reads those of the decision module.
+// platformSettings are the settings that package simproto does not read, because the decision module does not use them.
 type platformSettings struct {
 	PeerNumber *int              `json:"myNumber"`
 	Limits     connectionLimits  `json:"limits"`
@@ -65,7 +65,7 @@
 	CircuitsByClass []int `json:"circuitsByClass"` // in the order of the classes
 }
 
-// Least values of platformLimits.
+// Minimum values of platformLimits.
 const (
 	minMemoryMB = 1
 	minSockets  = 64
@@ -73,7 +73,7 @@
 
 var errMissing = errors.New("missing")
 
-// Parse reads the text of the platform's file. Its errors name the key.
+// Parse parses and validates the text of the platform's file. Errors in values contain the key.
 func Parse(text []byte) (*Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// config returns the values that need no conversion.
+// config returns a Config with the values that need no conversion.
 func (f *platformFile) config() *Config {
 	return &Config{
 		Name:             f.Name,
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// readSettings reads the object "settings" into the configuration.
+// readSettings sets the fields of c that the object "settings" supplies.
 func (c *Config) readSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return &KeyError{"settings", errMissing}
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// byName returns the allowances by the names of the classes. Classes without one are absent.
+// byName returns the allowances keyed by class name. Classes without an allowance are absent.
 func (a circuitAllowances) byName(classes []admission.Class) map[string]int {
 	all := make(map[string]int)
 	for i, class := range classes {
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Records is the section [records], which switches the durable records on.
+// Records is the section [records], which enables the durable records.
 type Records struct {
 	Dir     string   `toml:"dir" json:"dir"`         // directory that only this instance writes to
-	Queue   Size     `toml:"queue" json:"queue"`     // memory for records that wait for the disk
-	Sync    Duration `toml:"sync" json:"sync"`       // longest time until a record is synced
-	Segment Size     `toml:"segment" json:"segment"` // size at which a file is closed
-	Total   Size     `toml:"total" json:"total"`     // of all files together; the oldest are removed first
+	Queue   Size     `toml:"queue" json:"queue"`     // memory for records not yet written to disk
+	Sync    Duration `toml:"sync" json:"sync"`       // maximum time until a record is synced to disk
+	Segment Size     `toml:"segment" json:"segment"` // size at which a segment file is closed
+	Total   Size     `toml:"total" json:"total"`     // maximum size of all files; the oldest are removed first
 	Age     Duration `toml:"age" json:"age"`         // age at which files are removed; 0: never
 }
 
@@ -23,7 +23,7 @@
 	defaultTotal   Size = 512 << 20
 )
 
-// Bounds of Records.
+// Limits of Records.
 const (
 	minQueue   Size = 64 << 10
 	maxQueue   Size = 64 << 20
@@ -42,12 +42,12 @@
 	r.Total = cmp.Or(r.Total, defaultTotal)
 }
 
-// Validate fills in the defaults and returns a KeyError for the first invalid key.
+// Validate applies the defaults and returns a KeyError for the first invalid key.
 func (r *Records) Validate() error {
 	r.applyDefaults()
 	switch {
 	case r.Dir == "":
-		return keyErrorf("dir", "missing; name a directory that only this instance writes to")
+		return keyErrorf("dir", "missing; set it to a directory that only this instance writes to")
 	case r.Queue < minQueue || r.Queue > maxQueue:
 		return keyErrorf("queue", "%v is not between %v and %v", r.Queue, minQueue, maxQueue)
 	case r.Sync < minSync || r.Sync > maxSync:
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,7 +7,7 @@
 	"github.com/dustin/go-humanize"
 )
 
-// A Duration is a duration in the operator's file, written as in Go: "200ms", "1h".
+// A Duration is a duration in the operator's file, in the syntax of time.ParseDuration: "200ms", "1h".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -26,14 +26,14 @@
 // String implements fmt.Stringer.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// A Size is a number of bytes in the operator's file, written with a unit: "512KiB", "1GB".
+// A Size is a number of bytes in the operator's file, with a unit: "512KiB", "1GB".
 type Size int64
 
-// maxSize bounds a Size.
+// maxSize is the largest valid Size.
 const maxSize = 1 << 50
 
-// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without a unit, because nobody sees whether
-// it means bytes or megabytes until the disk is full.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without a unit: a value meant as megabytes but
+// read as bytes, or the reverse, would go unnoticed until the disk is full.
 func (s *Size) UnmarshalText(text []byte) error {
 	v, err := humanize.ParseBytes(string(text))
 	if err != nil || !endsInUnit(text) || v > maxSize {
