--- a/internal/config/keyline.go
+++ b/internal/config/keyline.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// lineOf returns the number of the line, starting from 1, that sets a dotted key in a valid TOML text. It exists because
-// the TOML parser does not report the positions of keys. For an absent key it returns the line of the innermost
+// lineOf returns the number of the line, starting from 1, that sets a dotted key in a valid TOML text. It exists
+// because the TOML parser does not report the positions of keys. For an absent key it returns the line of the innermost
 // enclosing table, or 1. For an array of tables ([[h248.server]]) it returns the first line that sets the key.
 func lineOf(text []byte, key string) int {
 	found := 1
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -78,8 +78,8 @@
 
 func isBetween(d, least, greatest Duration) bool { return d >= least && d <= greatest }
 
-// ResolvePeers uses the platform's addresses where the section has none and returns this controller's number. Its errors
-// are KeyErrors whose keys include the section's name.
+// ResolvePeers uses the platform's addresses where the section has none and returns this controller's number. Its
+// errors are KeyErrors whose keys include the section's name.
 func (o *OverloadControl) ResolvePeers(c *Config) (number int, err error) {
 	o.Listen = cmp.Or(o.Listen, c.PeerListen)
 	if len(o.Peers) == 0 {
