--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,7 @@
-// Package cli is what the commands of all programs share: exit codes, usage errors, tables with a JSON form, and the
-// version.
+// Package cli contains what the commands of all programs share: exit codes, usage errors, tables that can be printed as
+// JSON, and the version command.
 //
-// Run is the only place that turns an error into an exit code. The package defines no command but the version command.
+// Only Run converts an error to an exit code. The package defines no other command than the version command.
 package cli
 
 import (
@@ -21,20 +21,22 @@
 	Misuse = 2 // an unknown command or flag, or invalid arguments
 )
 
-// ErrReported ends a program with Failed without an error message, because its log has one.
-var ErrReported = errors.New("reported already")
+// ErrReported makes Run return the exit code of a failure without printing an error message. A command returns it after
+// it has logged the error.
+var ErrReported = errors.New("error already reported")
 
-// A usageError is an error in the command line. The cause is the message.
+// A usageError is an error in the command line. Its text is that of the cause.
 type usageError struct{ cause error }
 
 func (e usageError) Error() string { return e.cause.Error() }
 func (e usageError) Unwrap() error { return e.cause }
 
-// Usage returns an error in the command line, for which Run returns Misuse and points to the help of the command.
+// Usage returns a formatted error in the command line. For such an error Run returns Misuse and prints a hint at the
+// help of the command.
 func Usage(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// Run executes the commands of a program and returns its exit code. An error is written to the command's standard error
-// as one line; a usage error is followed by a line that points to the help.
+// Run executes a program's command line and returns its exit code. It prints an error as one line on the command's
+// standard error, followed by a hint at the help if it is a usage error.
 func Run(root *cobra.Command) int {
 	prepare(root)
 	executed, err := root.ExecuteContextC(context.Background())
@@ -44,7 +46,7 @@
 	return exitCode(err)
 }
 
-// exitCode returns the exit code of a program that ends with an error, or with nil.
+// exitCode returns the exit code for the error that a command returned, which may be nil.
 func exitCode(err error) int {
 	var usage usageError
 	switch {
@@ -66,7 +68,8 @@
 	}
 }
 
-// prepare makes all errors in the use of the commands usage errors, and leaves their output to Run.
+// prepare turns all errors in flags and arguments into usage errors and disables cobra's own error output, because Run
+// prints errors.
 func prepare(root *cobra.Command) {
 	root.SilenceErrors = true
 	root.SilenceUsage = true
@@ -84,7 +87,8 @@
 	}
 }
 
-// usageArgs returns a validation of arguments whose errors are usage errors. Without a validation there must be none.
+// usageArgs wraps a validation of positional arguments so that its errors are usage errors. If validate is nil, no
+// arguments are allowed.
 func usageArgs(validate cobra.PositionalArgs) cobra.PositionalArgs {
 	if validate == nil {
 		validate = cobra.NoArgs
@@ -97,7 +101,7 @@
 	}
 }
 
-// requireSubcommand is what a group of commands does: it names the commands of the group.
+// requireSubcommand runs for a group of commands without a subcommand. Its error lists the subcommands.
 func requireSubcommand(c *cobra.Command, _ []string) error {
 	var names []string
 	for _, subcommand := range c.Commands() {
@@ -105,5 +109,5 @@
 			names = append(names, subcommand.Name())
 		}
 	}
-	return Usage("a command is missing: %s", strings.Join(names, ", "))
+	return Usage("missing command; available commands: %s", strings.Join(names, ", "))
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newProgram returns a program with a group of one command that ends with an error.
+// newProgram returns a program with one group of commands, whose only command returns result.
 func newProgram(result error) *cobra.Command {
 	root := &cobra.Command{Use: "program"}
 	group := &cobra.Command{Use: "group"}
@@ -35,7 +35,7 @@
 		},
 		"missing command": {
 			"group", nil, Misuse,
-			"program group: a command is missing: work\nTry 'program group --help'.\n",
+			"program group: missing command; available commands: work\nTry 'program group --help'.\n",
 		},
 		"superfluous argument": {
 			"group work x", nil, Misuse,
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Table writes rows under a heading, or the value as JSON in their place. It fails only if out does.
+// Table writes a table with a heading to out or, if asJSON is true, writes value as indented JSON instead.
 func Table(out io.Writer, asJSON bool, value any, heading []string, rows [][]string) error {
 	if asJSON {
 		enc := json.NewEncoder(out)
@@ -25,7 +25,7 @@
 	return w.Flush()
 }
 
-// IsTerminal reports whether a file is a terminal with cursor control.
+// IsTerminal reports whether f is a character device and the environment variable TERM does not deny cursor control.
 func IsTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/cli/time.go
+++ b/internal/cli/time.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timeLayouts are the notations of a time. A notation without a zone is UTC.
+// timeLayouts are the layouts that ParseTime accepts. A time without a zone is in UTC.
 var timeLayouts = []string{
 	time.RFC3339Nano,
 	"2006-01-02T15:04:05.999999999",
@@ -15,7 +15,7 @@
 	"2006-01-02",
 }
 
-// ParseTime parses a time, or a duration that has passed until now, such as 90m. The empty text is the zero time.
+// ParseTime parses an absolute time or a duration before now, such as 90m. For an empty text it returns the zero time.
 func ParseTime(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -30,5 +30,5 @@
 		return now.Add(-age), nil
 	}
 	return time.Time{}, fmt.Errorf(
-		"%q is no time: write 2026-12-01T17:30:00Z, \"2026-12-01 17:30\" (UTC), or 90m for 90 minutes ago", text)
+		"invalid time %q: use 2026-12-01T17:30:00Z, \"2026-12-01 17:30\" (UTC), or 90m for 90 minutes ago", text)
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -7,10 +7,11 @@
 	"github.com/spf13/cobra"
 )
 
-// shortRevisionLength is how much of a revision is shown.
+// shortRevisionLength is the number of characters of a revision that Version returns.
 const shortRevisionLength = 12
 
-// Version returns the version and revision of the module and the version of the Go toolchain, as the build noted them.
+// Version returns the version and revision of the main module and the version of the Go toolchain, from the build
+// information of the binary. A modified working tree is marked.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
