--- a/internal/logging/golden_test.go
+++ b/internal/logging/golden_test.go
@@ -15,7 +15,8 @@
 	"olivedale/internal/goldentest"
 )
 
-// constantText returns the value of a string literal; other constants do not count.
+// constantText returns the value of a string literal. It reports false for any other expression, named constants
+// included.
 func constantText(e ast.Expr) (string, bool) {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -25,7 +26,7 @@
 	return text, err == nil
 }
 
-// eventOf returns level, event and keys of a logger call on one line, and "" for any other call.
+// eventOf formats level, event and keys of a logger call as one line. It returns "" for any other call.
 func eventOf(t *testing.T, call *ast.CallExpr) string {
 	t.Helper()
 	method, ok := call.Fun.(*ast.SelectorExpr)
@@ -47,7 +48,7 @@
 	return line
 }
 
-// addEvents adds the events that a source file logs.
+// addEvents adds the events that a source file logs to events.
 func addEvents(t *testing.T, path string, events map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// The events of all programs with their levels and field keys are the committed ones, in whichever package.
+// Compares the log events of all packages, with their levels and field keys, with the committed list: operators' tools
+// depend on them.
 func TestGoldenEvents(t *testing.T) {
 	events := make(map[string]bool)
 	for _, folder := range []string{"cmd", "internal"} {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the programs' zap loggers. A line is logfmt for people or JSON for log collectors and begins
-// with time, level and event: time=2026-01-02T03:04:05.000006Z level=info event=started. The package does not know
-// the events.
+// Package logging creates the zap loggers of the programs. Log lines are logfmt for people or JSON for log collectors
+// and begin with time, level and event: time=2026-01-02T03:04:05.000006Z level=info event=started. The events are
+// defined where they are logged.
 package logging
 
 import (
@@ -19,24 +19,24 @@
 	JSON = "json"
 )
 
-// Keys of the fields that every line has.
+// Keys of the standard fields.
 const (
 	eventKey = "event"
 	levelKey = "level"
 	timeKey  = "time"
-	nameKey  = "part" // of a named logger
+	nameKey  = "part" // only in lines of a named logger
 )
 
-// timeLayout is UTC to the microsecond, so that lines of several machines can be compared.
+// timeLayout is UTC with microseconds, so that log lines of several machines can be compared.
 const timeLayout = "2006-01-02T15:04:05.000000Z"
 
-// Options select the log lines and their form. The zero value is logfmt from level info on.
+// Options select the minimum level and the format of log lines. The zero value selects logfmt and level info.
 type Options struct {
 	Form  string // Text or JSON; "": Text
-	Level string // least level: debug, info, warn or error; "": info
+	Level string // minimum level: debug, info, warn or error; "": info
 }
 
-// Check returns an error that begins with the name of the first invalid option.
+// Check returns an error for the first invalid option. The error begins with the option's name.
 func (o Options) Check() error {
 	if o.Form != "" && o.Form != Text && o.Form != JSON {
 		return fmt.Errorf("form: %q is neither %q nor %q", o.Form, Text, JSON)
@@ -59,7 +59,7 @@
 	return zapcore.InfoLevel, fmt.Errorf("level: %q is none of debug, info, warn, error", o.Level)
 }
 
-// New returns a logger that writes complete lines to w. In place of an invalid option it uses the zero value.
+// New returns a logger that writes whole lines to w, one at a time. It replaces an invalid option by the default.
 func New(w io.Writer, o Options) *zap.Logger {
 	level, _ := o.level()
 	core := zapcore.NewCore(o.encoder(), zapcore.Lock(zapcore.AddSync(w)), level)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// An entry is one line whatever its fields contain; the event goes before the fields; entries below the level are
-// dropped. Both forms carry the same fields.
+// An entry is a single line even if its fields contain line breaks, the event precedes the fields, and entries below
+// the minimum level are dropped. Both formats contain the same fields.
 func TestLines(t *testing.T) {
 	for _, form := range []string{"", Text, JSON} {
 		var output bytes.Buffer
@@ -28,7 +28,7 @@
 		}
 		for _, want := range []string{"level=warn event=torn err=", `"a\nb \"c\""`, " after=1.5s n=3"} {
 			if !strings.Contains(line, want) {
-				t.Errorf("%q does not have %q", line, want)
+				t.Errorf("%q does not contain %q", line, want)
 			}
 		}
 	}
