--- a/internal/goldentest/files.go
+++ b/internal/goldentest/files.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+var update = flag.Bool("update", false, "overwrite the golden files instead of comparing with them")
 
-// CompareFile compares the output of a test with a committed file, byte for byte, and reports the first line that
-// differs. With -update it writes the file.
+// CompareFile compares the output of a test with a committed file byte for byte and reports the first line that
+// differs. With -update it writes the file instead.
 func CompareFile(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if *update {
@@ -32,7 +32,7 @@
 	}
 }
 
-// writeFile writes a file and creates its directory.
+// writeFile writes a file and creates its directory if necessary.
 func writeFile(path string, data []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -40,8 +40,9 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// CompareDir compares the files in a directory with those in a committed one, by name and byte for byte. With
-// -update it replaces the committed files. Neither directory may hold others.
+// CompareDir compares the files in directory got with those in the committed directory path: the names must be the
+// same, and the contents equal byte for byte. With -update it replaces the committed files. The directories must not
+// have subdirectories.
 func CompareDir(t testing.TB, path, got string) {
 	t.Helper()
 	names := fileNames(t, got)
@@ -75,10 +76,11 @@
 	return names
 }
 
-// maxShownBytes bounds how much of a differing line is shown.
+// maxShownBytes limits the length of a line in an error message.
 const maxShownBytes = 300
 
-// firstDifference describes the first line in which two texts differ, from shortly before the byte that does.
+// firstDifference describes the first line in which two texts differ. Long lines are shown from shortly before the
+// first byte that differs.
 func firstDifference(got, want []byte) string {
 	gotLines := bytes.Split(got, []byte("\n"))
 	wantLines := bytes.Split(want, []byte("\n"))
@@ -103,7 +105,7 @@
 	return n
 }
 
-// excerpt returns at most maxShownBytes of a line.
+// excerpt returns at most maxShownBytes bytes of a line, starting at from.
 func excerpt(line []byte, from int) []byte {
 	return line[from:min(from+maxShownBytes, len(line))]
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest compares what tests produce with committed files under testdata/golden.
-// Only tests import it. With the flag -update tests write these files instead.
+// Package goldentest compares the output of tests with committed files, normally in testdata/golden. Only tests import
+// it. With the flag -update it overwrites the committed files instead.
 package goldentest
 
 import (
@@ -12,22 +12,22 @@
 	"testing"
 )
 
-// A Message is an encoded message and the name of its case.
+// A Message is an encoded message and the name of its test case.
 type Message struct {
 	Name  string
 	Bytes []byte
 }
 
-// headingPrefix begins the line with the name of a message.
+// headingPrefix starts a line that contains the name of a message.
 const headingPrefix = "== "
 
-// Compare compares a text with a committed file and shows the first line that differs.
+// Compare compares a text with a file in testdata/golden and reports the first line that differs.
 func Compare(t testing.TB, file, got string) {
 	t.Helper()
 	CompareFile(t, filepath.Join("testdata", "golden", file), []byte(got))
 }
 
-// Messages compares encoded messages with a committed file and returns the committed ones.
+// Messages compares encoded messages with a file in testdata/golden and returns the messages of that file.
 func Messages(t testing.TB, file string, encoded []Message) []Message {
 	t.Helper()
 	Compare(t, file, format(encoded))
@@ -42,7 +42,7 @@
 	return committed
 }
 
-// format returns a text with a heading for each message and a quoted string for each of its lines.
+// format returns the text form of messages: a heading for each message, followed by its lines as quoted strings.
 func format(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -56,9 +56,9 @@
 	return b.String()
 }
 
-var errNoHeading = errors.New("bytes before the first heading")
+var errNoHeading = errors.New("text before the first heading")
 
-// parse reads a text that format returned.
+// parse parses the text form that format returns.
 func parse(text string) ([]Message, error) {
 	var messages []Message
 	for line := range strings.Lines(text) {
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds helpers that tests of several packages share. Only tests import it.
+// Package testutil contains helpers for the tests of several packages. Only tests import it.
 package testutil
 
 import (
@@ -7,13 +7,15 @@
 	"testing"
 )
 
-// propertyTestDefaults are flags of pgregory.net/rapid: every run draws the same cases and leaves no files behind.
+// propertyTestDefaults are flags of pgregory.net/rapid with which every run generates the same test cases and writes no
+// failure files.
 var propertyTestDefaults = map[string]string{
 	"rapid.seed":       "7",
 	"rapid.nofailfile": "true",
 }
 
-// Main runs a package's tests; TestMain calls it. It sets propertyTestDefaults unless the command line sets the flags.
+// Main runs the tests of a package and exits; call it from TestMain. It applies propertyTestDefaults to flags that have
+// their default value.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range propertyTestDefaults {
