--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -1,9 +1,10 @@
-// Package adminapi is the management protocol between instances, the agent that runs them, and the operators' programs.
+// Package adminapi implements the management protocol between instances, the agent that runs them, and the operators'
+// programs.
 //
-// It carries H.248 commands: AuditValue reads state and counters, ServiceChange drains an instance, Modify orders a
-// change of the numbering tables or exchanges clock readings. The package owns the client, the agent's server, and the
-// conversion of the carried state to descriptors and back. It never changes the state of an instance. The client and
-// the server block; the event loop of an instance uses the conversions only.
+// Requests are H.248 commands: AuditValue reads state and counters, ServiceChange drains an instance, and Modify
+// changes the numbering tables or exchanges clock readings. The package contains the client, the agent's server, and
+// the conversion of state to descriptors and back. It never changes the state of an instance. The client and the server
+// block; the event loop of an instance uses only the conversions.
 package adminapi
 
 import (
@@ -17,7 +18,7 @@
 	"olivedale/internal/codec/h248"
 )
 
-// RequestTimeout bounds one request: the dial, the command and its reply.
+// RequestTimeout limits the duration of a request, from dialing to the reply.
 const RequestTimeout = 5 * time.Second
 
 // rootTermination addresses the instance or the agent as a whole.
@@ -26,10 +27,10 @@
 // nullContext is the context of commands that concern no call.
 const nullContext = "-"
 
-var errEmptyReply = errors.New("the reply is empty")
+var errEmptyReply = errors.New("reply without a command")
 
-// Send sends one command to addr on a connection of its own and returns the reply. An error descriptor in the reply is
-// returned as an *h248.Error.
+// Send sends a command to addr on a new connection and returns the reply. An error descriptor in the reply is returned
+// as an *h248.Error.
 func Send(ctx context.Context, addr string, c *h248.Command) (*h248.Command, error) {
 	reply, err := send(ctx, addr, c)
 	if err != nil {
@@ -51,7 +52,7 @@
 			return nil, err
 		}
 	}
-	// A deadline in the past ends reads and writes that are in progress when ctx is canceled.
+	// When ctx is canceled, a deadline in the past interrupts reads and writes that are in progress.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(0, 1)) })
 	defer stop()
 	id := uint32(time.Now().UnixNano())
@@ -65,8 +66,8 @@
 	return readReply(conn, id)
 }
 
-// newRequest returns a message with one command. The local port makes the message identifier unique: the server does
-// not take the transaction for a repetition of one on an earlier connection.
+// newRequest returns a message with one command. The message identifier contains the local port, so that the server
+// does not mistake the transaction for a repetition of one on an earlier connection.
 func newRequest(conn net.Conn, id uint32, c *h248.Command) *h248.Message {
 	port := conn.LocalAddr().(*net.TCPAddr).Port
 	action := &h248.Action{Context: nullContext, Commands: []*h248.Command{c}}
@@ -76,7 +77,7 @@
 	}
 }
 
-// readReply reads messages until one contains the reply to the transaction with that id.
+// readReply reads messages until it finds the reply to the transaction with the given id.
 func readReply(conn net.Conn, id uint32) (*h248.Command, error) {
 	var reply *h248.Command
 	err := readMessages(conn, func(m *h248.Message) error {
@@ -98,7 +99,7 @@
 	return reply, err
 }
 
-// firstCommand returns the first command of a reply, or the error that the reply contains in its place.
+// firstCommand returns the first command of a reply, or the error descriptor that the reply contains instead.
 func firstCommand(t *h248.Transaction) (*h248.Command, error) {
 	if t.Err != nil {
 		return nil, t.Err
--- a/internal/adminapi/client_test.go
+++ b/internal/adminapi/client_test.go
@@ -42,13 +42,13 @@
 }
 
 func TestSendEndsWhenContextIsCanceled(t *testing.T) {
-	ln := listen(t) // accepts connections in the kernel, and never replies
+	ln := listen(t) // the kernel accepts connections, but nothing replies
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	start := time.Now()
 	reply, err := Send(ctx, ln.Addr().String(), AuditCommand(rootTermination))
 	if err == nil {
-		t.Errorf("reply %+v of a server that does not reply", reply)
+		t.Errorf("reply %+v from a server that does not reply", reply)
 	}
 	if elapsed := time.Since(start); elapsed >= RequestTimeout {
 		t.Errorf("the request ended after %v, not when its context was canceled", elapsed)
--- a/internal/adminapi/clock.go
+++ b/internal/adminapi/clock.go
@@ -10,8 +10,8 @@
 	"olivedale/internal/codec/h248"
 )
 
-// ClockStamps are the four timestamps of a clock exchange (RFC 5905, section 8), in nanoseconds since the Unix epoch. A
-// timestamp that is not known is 0.
+// ClockStamps are the four timestamps of a clock exchange (RFC 5905, section 8), in nanoseconds since the Unix epoch.
+// Unknown timestamps are 0.
 type ClockStamps [4]int64
 
 // Indexes of ClockStamps.
@@ -22,7 +22,7 @@
 	DestinationTime        // T4: the client receives the reply
 )
 
-// Properties of TerminationState that carry a clock exchange.
+// peerProperty and stampProperties are the properties of TerminationState that carry a clock exchange.
 const peerProperty = "oc/peer"
 
 var stampProperties = [len(ClockStamps{})]string{
@@ -40,9 +40,9 @@
 	errInvalidPeerName    = errors.New("oc/peer is no name")
 )
 
-// ClockCommand returns the command that reads an instance's clock, a Modify of ROOT. It carries the timestamps of the
-// previous exchange under the name of the client: the instance learns all four timestamps of an exchange only with the
-// next one.
+// ClockCommand returns the command that reads an instance's clock, a Modify of ROOT. It also carries the name of the
+// client and the timestamps of the previous exchange, because an instance receives the complete timestamps of an
+// exchange only with the next request.
 func ClockCommand(peer string, previous ClockStamps) *h248.Command {
 	properties := []*h248.Node{{Name: peerProperty, Value: peer, Quoted: true}}
 	for i, name := range stampProperties {
@@ -53,7 +53,7 @@
 	return modifyCommand(rootTermination, properties)
 }
 
-// ParseClock returns what a ClockCommand or its reply carries.
+// ParseClock parses the name of the client and the timestamps in a ClockCommand or its reply.
 func ParseClock(c *h248.Command) (peer string, stamps ClockStamps, err error) {
 	state := h248.Find(c.Descriptors, h248.DescriptorMedia, h248.DescriptorTerminationState)
 	if state == nil {
@@ -75,14 +75,14 @@
 	return peer, stamps, nil
 }
 
-// isPeerName reports whether a text, which may be empty, consists of visible ASCII characters.
+// isPeerName reports whether s has at most maxPeerNameLength characters, all of them visible ASCII. It may be empty.
 func isPeerName(s string) bool {
 	isInvisible := func(c rune) bool { return c <= ' ' || c > '~' }
 	return len(s) <= maxPeerNameLength && !strings.ContainsFunc(s, isInvisible)
 }
 
 // ExchangeClocks reads the clock of the instance at addr. It sends the timestamps of the previous exchange and returns
-// those of the new one.
+// the timestamps of the new one.
 func ExchangeClocks(ctx context.Context, addr, peer string, previous ClockStamps) (ClockStamps, error) {
 	start := time.Now()
 	reply, err := Send(ctx, addr, ClockCommand(peer, previous))
@@ -93,7 +93,8 @@
 	if err != nil {
 		return ClockStamps{}, err
 	}
-	// T4 is taken by the monotonic clock: a step of the wall clock during the exchange must not change its duration.
+	// T4 is computed with the monotonic clock, so that a step of the wall clock during the exchange does not distort
+	// its duration.
 	stamps[OriginTime] = start.UnixNano()
 	stamps[DestinationTime] = stamps[OriginTime] + int64(time.Since(start))
 	return stamps, nil
--- a/internal/adminapi/commands.go
+++ b/internal/adminapi/commands.go
@@ -7,7 +7,7 @@
 	return &h248.Command{Name: h248.CommandAuditValue, Termination: termination}
 }
 
-// DrainCommand returns the command that takes a termination out of service once it has no pending work.
+// DrainCommand returns the command that takes a termination out of service after its pending work is finished.
 func DrainCommand(termination string) *h248.Command {
 	services := &h248.Node{Name: h248.DescriptorServices, Children: []*h248.Node{
 		{Name: "Method", Value: "Graceful"},
--- a/internal/adminapi/connection.go
+++ b/internal/adminapi/connection.go
@@ -9,11 +9,11 @@
 
 const readBufferSize = 4096
 
-// errStopReading is returned by a handler of readMessages that needs no more messages.
+// errStopReading is returned by a handler of readMessages to end reading without an error.
 var errStopReading = errors.New("stop reading")
 
-// readMessages calls handle for each message that conn delivers, until handle returns an error or the connection fails.
-// It returns nil if that error is errStopReading.
+// readMessages reads messages from conn and calls handle for each, until handle returns an error or the connection
+// fails. It returns nil if the error is errStopReading.
 func readMessages(conn net.Conn, handle func(*h248.Message) error) error {
 	var framer h248.Framer
 	buffer := make([]byte, readBufferSize)
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -54,7 +54,7 @@
 	return versions
 }
 
-// goldenCommands returns the commands and replies between instances and their managers.
+// goldenCommands returns commands and replies of every kind that clients, agents and instances exchange.
 func goldenCommands(t *testing.T) (all []goldentest.Message) {
 	add := func(name string, c *h248.Command) {
 		action := &h248.Action{Context: "-", Commands: []*h248.Command{c}}
@@ -69,45 +69,48 @@
 		add(name, &h248.Command{Name: "AuditValue", Termination: termination, Descriptors: nodes})
 	}
 	add("audit of ROOT", AuditCommand("ROOT"))
-	add("audit of the share", AuditCommand(OverloadTermination))
+	add("audit of overload control", AuditCommand(OverloadTermination))
 	add("drain", DrainCommand("instance/panel-east"))
 	add("clock", ClockCommand("agent-1", ClockStamps{1764547200000000001, 2, 3, 4}))
-	add("clock without stamps", ClockCommand("", ClockStamps{}))
-	add("order to load", NumberingCommand(numbering.Command{Op: numbering.OpLoad, File: "/etc/numbers.toml"}))
-	add("order to activate", NumberingCommand(numbering.Command{
+	add("clock without timestamps", ClockCommand("", ClockStamps{}))
+	add("numbering command to load", NumberingCommand(numbering.Command{Op: numbering.OpLoad, File: "/etc/numbers.toml"}))
+	add("numbering command to activate", NumberingCommand(numbering.Command{
 		Op: numbering.OpActivate, Digest: "7b3cbfb4b82e4e7b", ExpectedActive: "00", ActivateAt: 5 * time.Second}))
-	add("order to roll back", NumberingCommand(numbering.Command{Op: numbering.OpRollback, ExpectedActive: "00"}))
-	add("order to cancel", NumberingCommand(numbering.Command{Op: numbering.OpCancel}))
+	add("numbering command to roll back", NumberingCommand(numbering.Command{
+		Op: numbering.OpRollback, ExpectedActive: "00"}))
+	add("numbering command to cancel", NumberingCommand(numbering.Command{Op: numbering.OpCancel}))
 	load := numbering.Command{Op: numbering.OpLoad}
 	runningJob := numbering.Job{ID: 4, Command: load, IsRunning: true}
 	failedJob := numbering.Job{ID: 5, Command: load, Error: "no such file", Digest: "d9"}
-	reply("versions while an order runs", NumberingTermination, NumberingNodes(goldenVersions(), runningJob)...)
-	reply("versions after an order failed", NumberingTermination, NumberingNodes(nil, failedJob)...)
+	reply("versions during a job", NumberingTermination, NumberingNodes(goldenVersions(), runningJob)...)
+	reply("versions after a failed job", NumberingTermination, NumberingNodes(nil, failedJob)...)
 	reply("table and look-ups", "ROOT", TableNode("d0", "of today"), LookupsNode(&portability.Counters{
 		Calls: 1, CacheHits: 2, Coalesced: 3, StaleCacheHits: 4, Unanswered: 5, OverLimit: 6,
-		QueriesSent: 7, QueriesAnswered: 8, QueriesTimedOut: 9, QueriesFailed: 10, UnmatchedAnswers: 11, MismatchedAnswers: 12, BreakerOpenings: 13,
+		QueriesSent: 7, QueriesAnswered: 8, QueriesTimedOut: 9, QueriesFailed: 10,
+		UnmatchedAnswers: 11, MismatchedAnswers: 12, BreakerOpenings: 13,
 	}))
-	reply("share", OverloadTermination, OverloadNodes(goldenState())...)
-	reply("share without values", OverloadTermination, OverloadNodes(&overload.State{})...)
+	reply("overload control", OverloadTermination, OverloadNodes(goldenState())...)
+	reply("overload control without values", OverloadTermination, OverloadNodes(&overload.State{})...)
 	return all
 }
 
-// dumpCommand writes the result of each parser for a command, with fixed labels.
+// dumpCommand writes what each parser returns for a command.
 func dumpCommand(b *strings.Builder, c *h248.Command) {
 	_, _ = fmt.Fprintf(b, "command %q termination %q\n", c.Name, c.Termination)
 	if peer, stamps, err := ParseClock(c); err == nil {
-		_, _ = fmt.Fprintf(b, "clock peer %q stamps %v\n", peer, [4]int64(stamps))
+		_, _ = fmt.Fprintf(b, "clock peer %q timestamps %v\n", peer, [4]int64(stamps))
 	}
 	if o, err := ParseNumberingOrder(c); err == nil && o.Op != "" {
-		_, _ = fmt.Fprintf(b, "order %q file %q digest %q saw %q at %d\n", o.Op, o.File, o.Digest, o.ExpectedActive, o.ActivateAt)
+		_, _ = fmt.Fprintf(b, "numbering command %q file %q digest %q expected active %q activate at %d\n",
+			o.Op, o.File, o.Digest, o.ExpectedActive, o.ActivateAt)
 	}
 	versions, job := ParseNumbering(c.Descriptors)
 	for _, v := range versions {
-		_, _ = fmt.Fprintf(b, "version %q name %q state %q entries %d calls %d since %d due %d\n",
+		_, _ = fmt.Fprintf(b, "version %q name %q state %q prefixes %d calls %d activated at %d scheduled at %d\n",
 			v.Digest, v.Name, v.State, v.Prefixes, v.Calls, v.ActivatedAt, v.ScheduledAt)
 	}
 	if job.ID > 0 {
-		_, _ = fmt.Fprintf(b, "job %d order %q running %v error %q digest %q\n",
+		_, _ = fmt.Fprintf(b, "job %d command %q running %v error %q digest %q\n",
 			job.ID, job.Command.Op, job.IsRunning, job.Error, job.Digest)
 	}
 	if s := ParseOverload(c.Descriptors); s != nil {
@@ -117,30 +120,33 @@
 
 func dumpState(b *strings.Builder, s *overload.State) {
 	_, _ = fmt.Fprintf(b,
-		"share %d of %d boot %d teller %d since %v heard %v live %d most %d part %v often %v shunned %d\n",
+		"member %d of %d incarnation %d aggregator %d for %v last contact %v alive %d peak %d partitioned %v "+
+			"frequent reports %v ejected %d\n",
 		s.Self, s.Peers, s.Incarnation, s.Aggregator, s.AggregatorFor, s.LastContactAge,
 		s.AliveMembers, s.PeakMembers, s.Partitioned, s.FrequentReports, s.Ejected)
 	c := &s.Counters
 	_, _ = fmt.Fprintf(b,
-		"counters sent %d bytes %d received %d unread %d alien %d held %d passed %d silent %d wrong %d\n",
+		"counters sent %d bytes %d received %d malformed %d misattributed %d throttled %d admitted %d "+
+			"unresponsive %d ejected %d\n",
 		c.Sent, c.SentBytes, c.Received, c.Malformed, c.Misattributed,
 		c.Throttled, c.Admitted, c.AggregatorsUnresponsive, c.AggregatorsEjected)
 	for _, v := range s.Servers {
-		_, _ = fmt.Fprintf(b, "server %q waiting %d wait %v obeyed %v claim %v hold %v over %v held %d\n",
+		_, _ = fmt.Fprintf(b, "server %q pending %d setup time %v limited %v claimed wait %v throttle %v overflow %v throttled %d\n",
 			v.ID, v.PendingAttempts, v.SetupTime, v.Limited, v.ClaimedWait,
 			v.ThrottleProbability, v.OverflowProbability, v.Throttled)
 	}
 	for _, v := range s.Aggregates {
-		_, _ = fmt.Fprintf(b, "sum %06x offered %v over %v answered %v wait %v told %d budget %v\n",
+		_, _ = fmt.Fprintf(b, "aggregate %06x offered %v overflow %v answered %v wait %v reports %d admitted rate %v\n",
 			v.Key, v.Offered, v.Overflow, v.Answered, v.Wait, v.WaitReports, v.AdmittedRate)
 	}
 	for _, m := range s.Members {
-		_, _ = fmt.Fprintf(b, "reporter %d presence %v heard %v lost %v span %v\n",
+		_, _ = fmt.Fprintf(b, "member %d status %v last report %v loss share %v report span %v\n",
 			m.Number, m.Status, m.LastReportAge, m.LossShare, m.ReportSpan)
 	}
 }
 
-// TestGoldenCommands compares written commands with the committed frames, and parsed frames with the committed dump.
+// TestGoldenCommands compares encoded commands with the committed frames, and the result of parsing the committed
+// frames with a committed dump.
 func TestGoldenCommands(t *testing.T) {
 	var dump strings.Builder
 	for _, m := range goldentest.Messages(t, "commands.txt", goldenCommands(t)) {
--- a/internal/adminapi/numbering.go
+++ b/internal/adminapi/numbering.go
@@ -8,8 +8,8 @@
 	"olivedale/internal/portability"
 )
 
-// NumberingTermination is the termination that manages an instance's numbering tables: AuditValue lists the versions
-// and the last order, Modify gives an order.
+// NumberingTermination is the termination that represents an instance's numbering tables: AuditValue lists the versions
+// and the latest job, and Modify carries a numbering command.
 const NumberingTermination = "numbers"
 
 // Names of the nodes that carry the state of the numbering tables.
@@ -26,7 +26,7 @@
 	jobDone    = "done"
 )
 
-var orderProperties = propertyList[numbering.Command]{
+var commandProperties = propertyList[numbering.Command]{
 	textProperty("do", func(o *numbering.Command) *string { return &o.Op }),
 	textProperty("file", func(o *numbering.Command) *string { return &o.File }),
 	textProperty("digest", func(o *numbering.Command) *string { return &o.Digest }),
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// lookupProperties are the counters of look-ups that an audit of ROOT reports.
+// lookupProperties are the look-up counters that an audit of ROOT reports.
 var lookupProperties = propertyList[portability.Counters]{
 	intProperty("asked", func(c *portability.Counters) *int { return &c.Calls }),
 	intProperty("hits", func(c *portability.Counters) *int { return &c.CacheHits }),
@@ -77,21 +77,21 @@
 	intProperty("broken", func(c *portability.Counters) *int { return &c.BreakerOpenings }),
 }
 
-// NumberingCommand returns the command that gives an order to the numbering tables of an instance.
+// NumberingCommand returns the H.248 command that carries a numbering command to an instance.
 func NumberingCommand(o numbering.Command) *h248.Command {
-	return modifyCommand(NumberingTermination, orderProperties.nodes(&o, true))
+	return modifyCommand(NumberingTermination, commandProperties.nodes(&o, true))
 }
 
-// ParseNumberingOrder returns the order that a command carries.
+// ParseNumberingOrder parses the numbering command that an H.248 command carries.
 func ParseNumberingOrder(c *h248.Command) (numbering.Command, error) {
 	var o numbering.Command
-	err := orderProperties.parse(&o, func(name string) string {
+	err := commandProperties.parse(&o, func(name string) string {
 		return h248.Value(c.Descriptors, h248.DescriptorMedia, h248.DescriptorTerminationState, name)
 	})
 	return o, err
 }
 
-// NumberingNodes returns the descriptors that report the versions of the numbering table and the last order.
+// NumberingNodes returns the descriptors that report the versions of the numbering tables and the latest job.
 func NumberingNodes(versions []numbering.VersionStatus, job numbering.Job) []*h248.Node {
 	statistics := &h248.Node{Name: h248.DescriptorStatistics}
 	for i := range versions {
@@ -103,7 +103,7 @@
 	return []*h248.Node{statistics}
 }
 
-// ParseNumbering returns the versions and the last order that descriptors of NumberingNodes report.
+// ParseNumbering parses the versions and the latest job in the descriptors that NumberingNodes returns.
 func ParseNumbering(nodes []*h248.Node) (versions []numbering.VersionStatus, job numbering.Job) {
 	statistics := h248.Find(nodes, h248.DescriptorStatistics)
 	if statistics == nil {
@@ -120,7 +120,7 @@
 	return versions, job
 }
 
-// TableNode returns the node that reports the numbering table in use.
+// TableNode returns the node that reports the active numbering table.
 func TableNode(digest, version string) *h248.Node {
 	return &h248.Node{Name: tableNode, Children: []*h248.Node{
 		{Name: "oc/digest", Value: digest, Quoted: true},
@@ -128,7 +128,7 @@
 	}}
 }
 
-// LookupsNode returns the node that reports the look-ups of ported numbers.
+// LookupsNode returns the node that reports the counters of look-ups of ported numbers.
 func LookupsNode(c *portability.Counters) *h248.Node {
 	return &h248.Node{Name: lookupsNode, Children: lookupProperties.nodes(c, false)}
 }
--- a/internal/adminapi/overload.go
+++ b/internal/adminapi/overload.go
@@ -20,7 +20,7 @@
 	memberNode    = "oc/reporter"
 )
 
-// maxReportedNodes bounds the aggregates and the members in a reply, which must fit in one message.
+// maxReportedNodes limits the number of aggregates and the number of members in a reply, which must fit in one message.
 const maxReportedNodes = 64
 
 var stateProperties = propertyList[overload.State]{
@@ -52,7 +52,7 @@
 	durationProperty("wait", func(s *overload.ServerState) *time.Duration { return &s.SetupTime }),
 	boolProperty("obeyed", func(s *overload.ServerState) *bool { return &s.Limited }),
 	durationProperty("claim", func(s *overload.ServerState) *time.Duration { return &s.ClaimedWait }),
-	{name: "hold", format: formatThrottleChances, parse: parseThrottleChances},
+	{name: "hold", format: formatThrottleProbabilities, parse: parseThrottleProbabilities},
 	floatProperty("over", func(s *overload.ServerState) *float64 { return &s.OverflowProbability }),
 	intProperty("held", func(s *overload.ServerState) *int { return &s.Throttled }),
 }
@@ -75,25 +75,25 @@
 	durationProperty("span", func(m *overload.MemberState) *time.Duration { return &m.ReportSpan }),
 }
 
-// formatThrottleChances returns the chances of all priorities, separated by spaces.
-func formatThrottleChances(s *overload.ServerState) string {
+// formatThrottleProbabilities formats the throttling probabilities of all priorities, separated by spaces.
+func formatThrottleProbabilities(s *overload.ServerState) string {
 	var texts []string
-	for _, chance := range s.ThrottleProbability {
-		texts = append(texts, formatFloat(chance))
+	for _, probability := range s.ThrottleProbability {
+		texts = append(texts, formatFloat(probability))
 	}
 	return strings.Join(texts, " ")
 }
 
-func parseThrottleChances(s *overload.ServerState, text string) (err error) {
+func parseThrottleProbabilities(s *overload.ServerState, text string) (err error) {
 	for i, field := range strings.Fields(text) {
 		if i == len(s.ThrottleProbability) {
 			break
 		}
-		chance, parseErr := strconv.ParseFloat(field, 64)
+		probability, parseErr := strconv.ParseFloat(field, 64)
 		if parseErr != nil {
 			err = parseErr
 		}
-		s.ThrottleProbability[i] = chance
+		s.ThrottleProbability[i] = probability
 	}
 	return err
 }
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// OverloadNodes returns the descriptors that report the state of overload control. The state lists its members by the
-// age of their last report, the oldest first; only the first maxReportedNodes members and aggregates are reported.
+// OverloadNodes returns the descriptors that report the state of overload control. They contain only the first
+// maxReportedNodes aggregates and members; members are sorted by the age of their last report, the oldest first.
 func OverloadNodes(s *overload.State) []*h248.Node {
 	statistics := &h248.Node{Name: h248.DescriptorStatistics}
 	report := func(n *h248.Node) { statistics.Children = append(statistics.Children, n) }
@@ -127,7 +127,7 @@
 	return []*h248.Node{statistics}
 }
 
-// ParseOverload returns the state that descriptors of OverloadNodes report, nil if they report none.
+// ParseOverload parses the state in the descriptors that OverloadNodes returns. It returns nil if there is none.
 func ParseOverload(nodes []*h248.Node) *overload.State {
 	statistics := h248.Find(nodes, h248.DescriptorStatistics)
 	if statistics == nil {
@@ -141,7 +141,7 @@
 			continue
 		}
 		if s == nil {
-			continue // the state comes before its parts
+			continue // the state node precedes the nodes of its parts
 		}
 		switch n.Name {
 		case serverNode:
--- a/internal/adminapi/overload_test.go
+++ b/internal/adminapi/overload_test.go
@@ -10,7 +10,7 @@
 	"olivedale/internal/overload"
 )
 
-// parseState returns the state that a reply in a frame carries.
+// parseState parses the state of overload control in an encoded reply.
 func parseState(t *testing.T, frame []byte) (s *overload.State) {
 	t.Helper()
 	var framer h248.Framer
@@ -27,7 +27,8 @@
 	return s
 }
 
-// TestOverloadStateRoundTrip checks that a state passes through a message unchanged, and that a large fleet fits.
+// TestOverloadStateRoundTrip checks that encoding and parsing preserve a state, and that the state of a fleet of 300
+// controllers fits in one message.
 func TestOverloadStateRoundTrip(t *testing.T) {
 	s := &overload.State{
 		Self: 3, Peers: 300, Incarnation: 77,
@@ -66,6 +67,6 @@
 		t.Errorf("sent %+v, received %+v", s, got)
 	}
 	if ParseOverload(nil) != nil {
-		t.Error("descriptors without a state were parsed as one")
+		t.Error("ParseOverload returned a state for descriptors that contain none")
 	}
 }
--- a/internal/adminapi/properties.go
+++ b/internal/adminapi/properties.go
@@ -9,21 +9,22 @@
 	"olivedale/internal/codec/h248"
 )
 
-// propertyPrefix starts the names of all properties and nodes of the protocol. It is the package name that H.248.1,
-// section 6.2.3, requires.
+// propertyPrefix starts the names of all properties and nodes of the protocol. It consists of the package name, which
+// H.248.1, section 6.2.3, requires.
 const propertyPrefix = "oc/"
 
-// A property converts one part of a T to a property's text and back. An empty text is not sent.
+// A property converts one part of a T to the text of an H.248 property and back. A property with an empty text is not
+// sent.
 type property[T any] struct {
 	name   string // without propertyPrefix
 	format func(*T) string
 	parse  func(v *T, text string) error
 }
 
-// A propertyList is the properties that carry a T, in the order in which they are sent.
+// A propertyList lists the properties that represent a T, in the order in which they are sent.
 type propertyList[T any] []property[T]
 
-// nodes returns the properties of v that are not empty.
+// nodes returns a node for each property of v that is not empty.
 func (l propertyList[T]) nodes(v *T, quoted bool) []*h248.Node {
 	var nodes []*h248.Node
 	for _, p := range l {
@@ -34,13 +35,13 @@
 	return nodes
 }
 
-// node returns a node with the properties of v, as quoted strings.
+// node returns a node that contains the properties of v as quoted strings.
 func (l propertyList[T]) node(name string, v *T) *h248.Node {
 	return &h248.Node{Name: name, Children: l.nodes(v, true)}
 }
 
-// parse sets the parts of v whose properties are present. The argument lookup returns the text of a property, "" if it
-// is absent. An invalid property does not prevent the others from being parsed; the first error is returned.
+// parse sets the parts of v whose properties are present. The function lookup returns the text of a property, or "" if
+// it is absent. After an invalid property, parse continues with the others and returns the first error.
 func (l propertyList[T]) parse(v *T, lookup func(name string) string) error {
 	var firstErr error
 	for _, p := range l {
@@ -55,8 +56,8 @@
 	return firstErr
 }
 
-// parseNode returns the T that a node carries. Invalid properties are ignored: an instance of another version may send
-// them.
+// parseNode parses the properties of a node. It ignores invalid properties, because an instance of another version may
+// send them.
 func (l propertyList[T]) parseNode(n *h248.Node) T {
 	var v T
 	_ = l.parse(&v, func(name string) string { return h248.Value(n.Children, name) })
@@ -109,7 +110,7 @@
 	}
 }
 
-// floatProperty carries a number with six significant digits.
+// floatProperty represents a number with six significant digits.
 func floatProperty[T any](name string, part func(*T) *float64) property[T] {
 	return property[T]{
 		name:   name,
@@ -126,7 +127,7 @@
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-// durationProperty carries a duration in the notation of the time package.
+// durationProperty represents a duration in the format of time.Duration.String.
 func durationProperty[T any](name string, part func(*T) *time.Duration) property[T] {
 	return property[T]{
 		name:   name,
@@ -138,7 +139,7 @@
 	}
 }
 
-// nanosecondsProperty carries a duration as a number of nanoseconds.
+// nanosecondsProperty represents a duration as an integer number of nanoseconds.
 func nanosecondsProperty[T any](name string, part func(*T) *time.Duration) property[T] {
 	return property[T]{
 		name:   name,
@@ -151,7 +152,7 @@
 	}
 }
 
-// omitZero returns a numeric property that is not sent if it is zero.
+// omitZero returns a copy of a numeric property that is not sent if it is zero.
 func omitZero[T any](p property[T]) property[T] {
 	format := p.format
 	p.format = func(v *T) string {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -9,14 +9,15 @@
 	"olivedale/internal/codec/h248"
 )
 
-// idleTimeout closes a connection that has delivered a request and then no other for that long.
+// idleTimeout is the time after the latest message at which an idle connection is closed. It does not apply before the
+// first message.
 const idleTimeout = time.Minute
 
 // A Handler executes one command and returns the descriptors of its reply. Serve calls it from several goroutines.
 type Handler func(*h248.Command) ([]*h248.Node, *h248.Error)
 
-// Serve accepts connections on ln and executes the commands that arrive on them, until ln is closed. Each connection
-// has a goroutine of its own, which ends with the connection. Serve does not close open connections.
+// Serve accepts connections on ln and executes the commands that it receives on them, until ln is closed. Each
+// connection is handled by a goroutine that ends with the connection. Serve does not close open connections.
 func Serve(ln net.Listener, mid string, handle Handler) error {
 	for {
 		conn, err := ln.Accept()
@@ -33,7 +34,7 @@
 // serveConnection executes requests until the connection fails or delivers an invalid message.
 func serveConnection(conn net.Conn, mid string, handle Handler) {
 	defer func() { _ = conn.Close() }()
-	_ = readMessages(conn, func(m *h248.Message) error { // the error concerns this connection only
+	_ = readMessages(conn, func(m *h248.Message) error { // an error affects only this connection
 		if err := conn.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return err
 		}
@@ -58,7 +59,7 @@
 	return err
 }
 
-// execute executes the commands of a transaction up to the first that fails, and returns the reply.
+// execute executes the commands of a transaction until one fails, and returns the reply.
 func execute(t *h248.Transaction, handle Handler) *h248.Transaction {
 	reply := &h248.Transaction{Kind: h248.Reply, ID: t.ID}
 	for _, action := range t.Actions {
