--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent keeps the instances of a machine running that etcd lists as desired.
+// Package agent runs the instances of a machine whose specifications are stored in etcd.
 //
 // It watches a prefix in etcd, starts, supervises and drains olivedale processes, exchanges clock readings with them,
-// and answers admin requests of olivectl. It never handles calls.
+// and answers admin requests from olivectl. It handles no calls.
 package agent
 
 import (
@@ -16,7 +16,7 @@
 	program  string
 	dir      string
 	log      *zap.SugaredLogger
-	peerName string // the name under which instances record clock exchanges
+	peerName string // name under which instances record clock exchanges
 
 	mu        sync.Mutex
 	instances map[string]*instance
@@ -25,7 +25,8 @@
 	supervisors sync.WaitGroup
 }
 
-// New returns an agent that runs program, an absolute path, for each instance and keeps the instances' files below dir.
+// New returns an agent that runs program, an absolute path, for each instance and stores the instances' files below
+// dir.
 func New(program, dir string, log *zap.Logger) *Agent {
 	return &Agent{
 		program:   program,
@@ -38,7 +39,7 @@
 
 // ReplaceAll implements DesiredState.
 func (a *Agent) ReplaceAll(values map[string][]byte) {
-	for _, name := range a.namesOutside(values) {
+	for _, name := range a.undesiredNames(values) {
 		a.Apply(name, nil)
 	}
 	for name, value := range values {
@@ -46,8 +47,8 @@
 	}
 }
 
-// namesOutside returns the names of the instances that have no entry in values.
-func (a *Agent) namesOutside(values map[string][]byte) []string {
+// undesiredNames returns the names of the instances that have no entry in values.
+func (a *Agent) undesiredNames(values map[string][]byte) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
@@ -59,8 +60,8 @@
 	return names
 }
 
-// Apply implements DesiredState. If a specification has changed, the old process is drained before the new one starts:
-// both listen on the same addresses.
+// Apply implements DesiredState. If a specification has changed, the old process is drained before the new one starts,
+// because both listen on the same addresses.
 func (a *Agent) Apply(name string, value []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +74,7 @@
 		return
 	}
 	if old != nil {
-		a.requestDrain(old, "no longer wanted")
+		a.requestDrain(old, "specification changed or removed")
 		delete(a.instances, name)
 	}
 	if value != nil {
@@ -81,8 +82,9 @@
 	}
 }
 
-// add adds an instance and starts its supervisor, which waits until the previous instance of that name, if there is
-// one, has ended. The caller holds a.mu.
+// add adds an instance and starts its supervisor, which first waits until the previous instance of that name, if any,
+// has ended. If the specification is invalid, the instance gets the state Invalid and no supervisor. The caller holds
+// a.mu.
 func (a *Agent) add(name string, value []byte, previous *instance) {
 	i := newInstance(name, value)
 	a.instances[name] = i
@@ -117,7 +119,7 @@
 	a.isClosed = true
 	for _, i := range a.instances {
 		if i.currentStatus().state != Invalid {
-			a.requestDrain(i, "the agent stops")
+			a.requestDrain(i, "agent shutdown")
 		}
 	}
 	a.mu.Unlock()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -33,7 +33,7 @@
 	return server
 }
 
-// fakeDesiredState is a DesiredState that stores what it receives.
+// fakeDesiredState is a DesiredState that stores the specifications it receives.
 type fakeDesiredState struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -64,7 +64,7 @@
 	return fmt.Sprint(f.values)
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, for at most 20 seconds.
 func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -105,7 +105,7 @@
 	server.Set(prefix+"b", []byte("1"))
 	server.Set(prefix+"a", nil)
 	eventually(t, "changes are followed", func() bool { return desired.String() == "map[b:1]" })
-	server.Stop() // the watch misses changes, and their history is compacted
+	server.Stop() // the watch misses the following changes, whose history is then compacted
 	server.Set(prefix+"c", []byte("1"))
 	server.Set(prefix+"b", []byte("2"))
 	server.CompactAll()
@@ -128,7 +128,7 @@
 	return ln.Addr().String()
 }
 
-// testSpec returns the specification of an instance on free ports, and its admin address.
+// testSpec returns the specification of an instance that listens on free ports, and its admin address.
 func testSpec(t *testing.T) (value []byte, adminAddr string) {
 	t.Helper()
 	adminAddr = freeAddr(t)
@@ -145,7 +145,7 @@
 	return value, adminAddr
 }
 
-// stateOf returns the state of an instance and the number of its starts, "" if there is no such instance.
+// stateOf returns the state of an instance and the number of its starts, or "" if there is no such instance.
 func stateOf(a *Agent, name string) string {
 	d, err := a.Handle(adminapi.AuditCommand("instance/" + name))
 	if err != nil {
@@ -154,7 +154,7 @@
 	return h248.Value(d, "oa/instance", "state") + " " + h248.Value(d, "oa/instance", "starts")
 }
 
-// buildProgram builds olivedale into dir.
+// buildProgram builds the program olivedale in dir and returns its path.
 func buildProgram(t *testing.T, dir string) (path string) {
 	t.Helper()
 	path = filepath.Join(dir, "olivedale")
@@ -165,8 +165,8 @@
 	return path
 }
 
-// TestAgent runs the real program under an agent that watches a fake etcd, and sends the admin requests of olivectl to
-// both.
+// TestAgent runs the real program under an agent that watches a fake etcd server, and sends admin requests to both, as
+// olivectl does.
 func TestAgent(t *testing.T) {
 	dir := t.TempDir()
 	program := buildProgram(t, dir)
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A backoff is a delay that doubles from a minimum up to a maximum.
+// A backoff is a delay that doubles from a minimum to a maximum.
 type backoff struct {
 	delay, minDelay, maxDelay time.Duration
 }
@@ -18,7 +18,7 @@
 
 func (b *backoff) increase() { b.delay = min(2*b.delay, b.maxDelay) }
 
-// wait waits for the delay. It returns false at once when ctx is done.
+// wait waits for the current delay and returns true. If ctx is done earlier, it returns false immediately.
 func (b *backoff) wait(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -9,14 +9,14 @@
 	"olivedale/internal/adminapi"
 )
 
-// Intervals of the clock exchanges by which the records of instances on several machines are aligned.
+// Intervals of clock exchanges, which are used to align the records of instances on several machines.
 const (
-	minClockInterval = 200 * time.Millisecond // after a start of the instance
+	minClockInterval = 200 * time.Millisecond // after the instance has started
 	maxClockInterval = 15 * time.Second
 )
 
-// machineName returns the name under which instances record clock exchanges. All instances of a machine record the same
-// name, so that their clocks can be compared.
+// machineName returns the name under which instances record clock exchanges. It is the same for all instances of a
+// machine, so that their clocks can be compared.
 func machineName() string {
 	name, err := os.Hostname()
 	if err != nil || name == "" {
@@ -25,8 +25,8 @@
 	return name
 }
 
-// startClockExchange exchanges clock readings with an instance in a goroutine. The function that it returns ends the
-// goroutine and waits for it.
+// startClockExchange starts a goroutine that exchanges clock readings with an instance. The returned function stops the
+// goroutine and waits until it has ended.
 func (a *Agent) startClockExchange(i *instance) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var exchange sync.WaitGroup
@@ -37,8 +37,8 @@
 	}
 }
 
-// exchangeClocks exchanges clock readings with the instance at addr until ctx is done. After a failed exchange it
-// forgets the previous timestamps and does not increase the interval.
+// exchangeClocks periodically exchanges clock readings with the instance at addr until ctx is done. After a failed
+// exchange it discards the previous timestamps and does not increase the interval.
 func (a *Agent) exchangeClocks(ctx context.Context, addr string) {
 	var previous adminapi.ClockStamps
 	interval := newBackoff(minClockInterval, maxClockInterval)
--- a/internal/agent/files.go
+++ b/internal/agent/files.go
@@ -17,7 +17,7 @@
 	fileMode      = 0o600
 )
 
-// writeFiles writes the files of an instance below dir and returns the path of its configuration.
+// writeFiles writes the configuration files of an instance below dir and returns the path of the platform's file.
 func writeFiles(dir string, spec *Spec) (configPath string, err error) {
 	operatorPath := filepath.Join(dir, config.OperatorPath)
 	if err := os.MkdirAll(filepath.Dir(operatorPath), directoryMode); err != nil {
@@ -27,7 +27,7 @@
 	if err := os.WriteFile(configPath, spec.Config, fileMode); err != nil {
 		return "", err
 	}
-	// Earlier versions of the agent wrote the settings of the H.248 front end to a file of their own.
+	// Earlier versions of the agent wrote the settings of the H.248 frontend to a separate file.
 	obsoletePath := filepath.Join(dir, config.H248Path)
 	if err := os.Remove(obsoletePath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return "", err
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -8,11 +8,11 @@
 	"olivedale/internal/codec/h248"
 )
 
-// instancePrefix starts the terminations that are instances.
+// instancePrefix starts the names of terminations that represent instances.
 const instancePrefix = "instance/"
 
-// Handle executes an admin request: AuditValue of ROOT lists the instances, AuditValue of instance/NAME reports one of
-// them, and a graceful ServiceChange drains it.
+// Handle executes an admin request: AuditValue of ROOT lists the instances, AuditValue of instance/NAME reports one
+// instance, and a graceful ServiceChange of instance/NAME drains it.
 func (a *Agent) Handle(c *h248.Command) ([]*h248.Node, *h248.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -29,7 +29,8 @@
 	return []*h248.Node{a.listNode()}, nil
 }
 
-// handleInstance executes a request for an instance, nil if there is none of that name. The caller holds a.mu.
+// handleInstance executes a request for an instance; i is nil if there is no instance of that name. The caller holds
+// a.mu.
 func (a *Agent) handleInstance(c *h248.Command, i *instance) ([]*h248.Node, *h248.Error) {
 	if i == nil {
 		return nil, unknownTermination(c)
@@ -42,7 +43,7 @@
 		return nil, notImplemented(c)
 	}
 	if i.currentStatus().state != Invalid {
-		a.requestDrain(i, "asked for")
+		a.requestDrain(i, "admin request")
 	}
 	return nil, nil
 }
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -8,12 +8,13 @@
 	"olivedale/internal/codec/h248"
 )
 
-// An instance is a desired process, or one that drains. The goroutine of its supervisor owns the process.
+// An instance is a process that etcd lists as desired, or one that drains. The goroutine of its supervisor owns the
+// process.
 type instance struct {
 	name   string
-	value  []byte // the specification as etcd stores it
+	value  []byte // the specification as stored in etcd
 	spec   Spec
-	drain  context.Context // done when the instance is to drain
+	drain  context.Context // done after a drain was requested
 	cancel context.CancelFunc
 	ended  chan struct{} // closed when the supervisor has ended
 
@@ -21,11 +22,11 @@
 	status status
 }
 
-// A status is what the agent reports of an instance.
+// A status is the part of an instance's state that the agent reports.
 type status struct {
 	state  State
-	pid    int // 0: it has no process
-	starts int // of its process
+	pid    int // 0: no process is running
+	starts int // how often the process was started
 }
 
 func newInstance(name string, value []byte) *instance {
@@ -33,8 +34,8 @@
 	return &instance{name: name, value: value, drain: drain, cancel: cancel, ended: make(chan struct{})}
 }
 
-// setState is the only place where the state of an instance changes. Only the instance's supervisor calls it, or the
-// agent before it starts one.
+// setState changes the state of an instance. No other function does. It is called only by the instance's supervisor, or
+// by the agent if the instance has no supervisor.
 func (i *instance) setState(state State, pid int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -53,7 +54,7 @@
 
 func (i *instance) isDrainRequested() bool { return i.drain.Err() != nil }
 
-// node returns the node that reports the instance in the admin protocol.
+// node returns the H.248 node that reports the instance in the admin protocol.
 func (i *instance) node() *h248.Node {
 	status := i.currentStatus()
 	n := &h248.Node{Name: "oa/instance", Children: []*h248.Node{
--- a/internal/agent/spec.go
+++ b/internal/agent/spec.go
@@ -11,27 +11,28 @@
 	"olivedale/internal/config"
 )
 
-// defaultRecordsDir is the directory of an instance's records, within its working directory.
+// defaultRecordsDir is the directory of an instance's records, relative to its working directory.
 const defaultRecordsDir = "records"
 
-// instanceName matches the names of instances. A name becomes a directory, so it must not be a path such as "../x".
+// instanceName matches valid names of instances. A name is also used as a directory name, so it must not be a path such
+// as "../x".
 var instanceName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,62}$`)
 
 var errInvalidName = errors.New("invalid instance name")
 
-// A Spec is the specification of a desired instance. etcd stores it as JSON under the instance's name.
+// A Spec is the specification of a desired instance. It is stored in etcd as JSON under the instance's name.
 type Spec struct {
-	Config    json.RawMessage         `json:"config"` // content of the file that RELAY_CONFIG names
-	H248      *config.H248            `json:"h248"`   // nil disables the H.248 front end
+	Config    json.RawMessage         `json:"config"` // content of the platform's file (RELAY_CONFIG)
+	H248      *config.H248            `json:"h248"`   // nil disables the H.248 frontend
 	Log       config.Log              `json:"log"`
-	Records   *config.Records         `json:"records"` // nil disables records; the directory has a default
+	Records   *config.Records         `json:"records"` // nil disables records; Dir defaults to defaultRecordsDir
 	Numbering *config.Numbering       `json:"numbers"` // nil disables routing by number
 	Overload  *config.OverloadControl `json:"share"`   // nil disables overload control between instances
-	AdminAddr string                  `json:"reach"`   // admin address behind a forwarder; empty: H248.Admin
+	AdminAddr string                  `json:"reach"`   // address of a forwarder to H248.Admin; "": H248.Admin itself
 }
 
-// parseSpec parses and validates the specification of the instance with that name. It returns what it has parsed even
-// if that is invalid.
+// parseSpec parses and validates the specification of an instance. With an error it returns the part that it has
+// parsed.
 func parseSpec(name string, value []byte) (Spec, error) {
 	var s Spec
 	if !instanceName.MatchString(name) {
@@ -54,7 +55,7 @@
 	return s, s.operatorFile().Validate()
 }
 
-// adminAddr returns the address for admin requests, "" if the instance has none.
+// adminAddr returns the address for admin requests, or "" if the instance accepts none.
 func (s *Spec) adminAddr() string {
 	if s.H248 == nil || s.H248.Admin == "" {
 		return ""
@@ -62,7 +63,7 @@
 	return cmp.Or(s.AdminAddr, s.H248.Admin)
 }
 
-// operatorFile returns the content of the instance's operator file.
+// operatorFile returns the content of the operator's file for the instance.
 func (s *Spec) operatorFile() *config.Operator {
 	return &config.Operator{
 		Log:       s.Log,
--- a/internal/agent/state.go
+++ b/internal/agent/state.go
@@ -4,11 +4,11 @@
 
 // A State is the state of an instance. The transitions are:
 //
-//	Starting -> Running    its process has started
-//	Starting, Running -> Restarting    its process could not be started, or has ended
-//	Restarting -> Running    its process has started again
-//	Running -> Draining    it is to drain, and its process has been signaled
-//	any but Invalid -> Drained    it is to drain, and has no process
+//	Starting -> Running                its process has started
+//	Starting, Running -> Restarting    its process could not be started or has ended
+//	Restarting -> Running              its process has started again
+//	Running -> Draining                a drain was requested; its process is signaled
+//	any but Invalid -> Drained         a drain was requested; it has no process
 //
 // Drained and Invalid are final.
 type State int
@@ -17,10 +17,10 @@
 const (
 	Starting State = iota
 	Running
-	Restarting // its process has ended and will be started again after a delay
+	Restarting // no process is running; it will be started again after a delay
 	Draining
 	Drained
-	Invalid // its specification is invalid
+	Invalid // its specification is invalid; it has no process
 )
 
 // stateNames are the names that the admin protocol sends.
--- a/internal/agent/state_test.go
+++ b/internal/agent/state_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The admin protocol sends these names, which olivectl and the console compare.
+// Checks the names of states in the admin protocol, because olivectl and the console compare them.
 func TestStateNames(t *testing.T) {
 	names := map[State]string{
 		Starting: "starting", Running: "running", Restarting: "waiting",
@@ -15,7 +15,7 @@
 	}
 	for state, want := range names {
 		if got := state.String(); got != want {
-			t.Errorf("state %d is named %q, want %q", int(state), got, want)
+			t.Errorf("name of state %d is %q, want %q", int(state), got, want)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	for range 4 {
 		delays = append(delays, b.delay/time.Millisecond)
 		if !b.wait(t.Context()) {
-			t.Error("wait was interrupted")
+			t.Error("wait returned false before its context was done")
 		}
 		b.increase()
 	}
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Times of supervision.
+// Delays and timeouts of supervision.
 const (
 	minRestartDelay = 200 * time.Millisecond
 	maxRestartDelay = 10 * time.Second
-	stableRunTime   = 10 * time.Second // a process that has run longer is restarted after minRestartDelay
-	drainTimeout    = 15 * time.Second // a process that drains for longer is killed
+	stableRunTime   = 10 * time.Second // a process that ran longer is restarted after minRestartDelay
+	drainTimeout    = 15 * time.Second // a process that has not drained after this time is killed
 )
 
-// supervise runs the process of an instance, and restarts it when it ends, until the instance is to drain.
+// supervise runs the process of an instance, and restarts it whenever it ends, until a drain is requested.
 func (a *Agent) supervise(i *instance) {
 	delay := newBackoff(minRestartDelay, maxRestartDelay)
 	for {
@@ -40,8 +40,8 @@
 	i.setState(Drained, 0)
 }
 
-// runProcess starts the process of an instance and waits until it ends. It terminates the process when the instance is
-// to drain.
+// runProcess starts the process of an instance and waits until it ends. It terminates the process when a drain is
+// requested.
 func (a *Agent) runProcess(i *instance) error {
 	if i.isDrainRequested() {
 		return nil
@@ -61,7 +61,7 @@
 	}
 	a.log.Infow("running", "name", i.name, "pid", pid)
 	exited := make(chan error, 1)
-	go func() { exited <- cmd.Wait() }() // ends with the process, which is awaited below
+	go func() { exited <- cmd.Wait() }() // ends with the process, for which runProcess waits below
 	select {
 	case err := <-exited:
 		return err
@@ -79,7 +79,7 @@
 	}
 	configPath, err := writeFiles(dir, &i.spec)
 	if err != nil {
-		return nil, fmt.Errorf("writing the files of the instance: %w", err)
+		return nil, fmt.Errorf("writing the instance's files: %w", err)
 	}
 	cmd := exec.Command(a.program)
 	cmd.Dir = dir
@@ -89,7 +89,7 @@
 	return cmd, nil
 }
 
-// terminate sends SIGTERM to a process and kills it if it has not exited after drainTimeout.
+// terminate sends SIGTERM to a process, which makes it drain, and kills it if it has not exited after drainTimeout.
 func (a *Agent) terminate(i *instance, process *os.Process, exited <-chan error) error {
 	if err := process.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		a.log.Warnw("signal_failed", "name", i.name, "err", err)
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -11,11 +11,11 @@
 	"go.uber.org/zap"
 )
 
-// Times of the watch.
+// Delays and timeouts of the watch.
 const (
-	minWatchDelay   = 100 * time.Millisecond // before a failed watch is repeated
+	minWatchDelay   = 100 * time.Millisecond // before a failed watch is restarted
 	maxWatchDelay   = 5 * time.Second
-	stableWatchTime = 5 * time.Second // a watch that has lasted longer is repeated after minWatchDelay
+	stableWatchTime = 5 * time.Second // a watch that lasted longer is restarted after minWatchDelay
 	listTimeout     = 5 * time.Second
 )
 
@@ -29,8 +29,8 @@
 	Apply(name string, value []byte)
 }
 
-// Watch lists the keys below prefix and then follows their changes. After a compaction or a failure it lists them
-// anew. It returns when ctx is done.
+// Watch lists the keys with the given prefix and then follows their changes. After a compaction or a failure it lists
+// them again. It returns when ctx is done.
 func Watch(
 	ctx context.Context, client *clientv3.Client, prefix string, desired DesiredState, log *zap.SugaredLogger,
 ) error {
@@ -51,10 +51,11 @@
 	return ctx.Err()
 }
 
-// listAndFollow delivers the keys below prefix and their changes until the watch fails.
+// listAndFollow passes the values of the keys with the given prefix, and then their changes, to desired until the watch
+// fails.
 func listAndFollow(ctx context.Context, client *clientv3.Client, prefix string, desired DesiredState) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the watch at the server too
+	defer cancel() // also ends the watch on the server
 	values, revision, err := list(ctx, client, prefix)
 	if err != nil {
 		return fmt.Errorf("listing %s: %w", prefix, err)
@@ -63,7 +64,7 @@
 	responses := client.Watch(clientv3.WithRequireLeader(ctx), prefix, clientv3.WithPrefix(),
 		clientv3.WithRev(revision+1))
 	for response := range responses {
-		if err := response.Err(); err != nil { // after a compaction, the missed changes are in a new list
+		if err := response.Err(); err != nil { // after a compaction, the missed changes are part of the next list
 			return fmt.Errorf("watching %s: %w", prefix, err)
 		}
 		for _, event := range response.Events {
@@ -73,7 +74,8 @@
 	return errWatchEnded
 }
 
-// list returns the values of the keys below prefix, by the rest of their key, and the revision of etcd.
+// list returns the values of the keys with the given prefix, keyed by the remainder of the key, and the revision of the
+// list.
 func list(ctx context.Context, client *clientv3.Client, prefix string) (map[string][]byte, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
