--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -120,18 +120,17 @@
 
 func dumpState(b *strings.Builder, s *overload.State) {
 	_, _ = fmt.Fprintf(b,
-		"member %d of %d incarnation %d aggregator %d for %v last contact %v alive %d peak %d partitioned %v "+
-			"frequent reports %v ejected %d\n",
+		"member %d of %d incarnation %d aggregator %d for %v contact %v alive %d peak %d split %v frequent %v ejected %d\n",
 		s.Self, s.Peers, s.Incarnation, s.Aggregator, s.AggregatorFor, s.LastContactAge,
 		s.AliveMembers, s.PeakMembers, s.Partitioned, s.FrequentReports, s.Ejected)
 	c := &s.Counters
 	_, _ = fmt.Fprintf(b,
-		"counters sent %d bytes %d received %d malformed %d misattributed %d throttled %d admitted %d "+
-			"unresponsive %d ejected %d\n",
+		"counters sent %d bytes %d received %d malformed %d misattributed %d throttled %d admitted %d silent %d ejected %d\n",
 		c.Sent, c.SentBytes, c.Received, c.Malformed, c.Misattributed,
 		c.Throttled, c.Admitted, c.AggregatorsUnresponsive, c.AggregatorsEjected)
 	for _, v := range s.Servers {
-		_, _ = fmt.Fprintf(b, "server %q pending %d setup time %v limited %v claimed wait %v throttle %v overflow %v throttled %d\n",
+		_, _ = fmt.Fprintf(b,
+			"server %q pending %d setup time %v limited %v claimed wait %v throttle %v overflow %v throttled %d\n",
 			v.ID, v.PendingAttempts, v.SetupTime, v.Limited, v.ClaimedWait,
 			v.ThrottleProbability, v.OverflowProbability, v.Throttled)
 	}
