--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -16,7 +16,7 @@
 
 // Exit codes of the programs.
 const (
-	Done   = 0
+	ExitSuccess   = 0
 	Failed = 1
 	Misuse = 2 // an unknown command or flag, or invalid arguments
 )
@@ -51,7 +51,7 @@
 	var usage usageError
 	switch {
 	case err == nil:
-		return Done
+		return ExitSuccess
 	case errors.Is(err, ErrReported):
 		return Failed
 	case errors.As(err, &usage):
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -26,7 +26,7 @@
 		code    int
 		message string
 	}{
-		"success":          {args: "group work", code: Done},
+		"success":          {args: "group work", code: ExitSuccess},
 		"failure":          {"group work", errors.New("no disk"), Failed, "program group work: no disk\n"},
 		"reported failure": {"group work", fmt.Errorf("it: %w", ErrReported), Failed, ""},
 		"usage error": {
