--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,7 +17,7 @@
 // Exit codes of the programs.
 const (
 	ExitSuccess   = 0
-	Failed = 1
+	ExitFailure = 1
 	Misuse = 2 // an unknown command or flag, or invalid arguments
 )
 
@@ -53,11 +53,11 @@
 	case err == nil:
 		return ExitSuccess
 	case errors.Is(err, ErrReported):
-		return Failed
+		return ExitFailure
 	case errors.As(err, &usage):
 		return Misuse
 	default:
-		return Failed
+		return ExitFailure
 	}
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -27,8 +27,8 @@
 		message string
 	}{
 		"success":          {args: "group work", code: ExitSuccess},
-		"failure":          {"group work", errors.New("no disk"), Failed, "program group work: no disk\n"},
-		"reported failure": {"group work", fmt.Errorf("it: %w", ErrReported), Failed, ""},
+		"failure":          {"group work", errors.New("no disk"), ExitFailure, "program group work: no disk\n"},
+		"reported failure": {"group work", fmt.Errorf("it: %w", ErrReported), ExitFailure, ""},
 		"usage error": {
 			"group work", Usage("--to: %d", 7), Misuse,
 			"program group work: --to: 7\nTry 'program group work --help'.\n",
