--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,7 +18,7 @@
 const (
 	ExitSuccess   = 0
 	ExitFailure = 1
-	Misuse = 2 // an unknown command or flag, or invalid arguments
+	ExitUsage = 2 // an unknown command or flag, or invalid arguments
 )
 
 // ErrReported makes Run return the exit code of a failure without printing an error message. A command returns it after
@@ -55,7 +55,7 @@
 	case errors.Is(err, ErrReported):
 		return ExitFailure
 	case errors.As(err, &usage):
-		return Misuse
+		return ExitUsage
 	default:
 		return ExitFailure
 	}
@@ -63,7 +63,7 @@
 
 func printError(w io.Writer, command string, err error) {
 	_, _ = fmt.Fprintf(w, "%s: %v\n", command, err)
-	if exitCode(err) == Misuse {
+	if exitCode(err) == ExitUsage {
 		_, _ = fmt.Fprintf(w, "Try '%s --help'.\n", command)
 	}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,20 +30,20 @@
 		"failure":          {"group work", errors.New("no disk"), ExitFailure, "program group work: no disk\n"},
 		"reported failure": {"group work", fmt.Errorf("it: %w", ErrReported), ExitFailure, ""},
 		"usage error": {
-			"group work", Usage("--to: %d", 7), Misuse,
+			"group work", Usage("--to: %d", 7), ExitUsage,
 			"program group work: --to: 7\nTry 'program group work --help'.\n",
 		},
 		"missing command": {
-			"group", nil, Misuse,
+			"group", nil, ExitUsage,
 			"program group: missing command; available commands: work\nTry 'program group --help'.\n",
 		},
 		"superfluous argument": {
-			"group work x", nil, Misuse,
+			"group work x", nil, ExitUsage,
 			"program group work: unknown command \"x\" for \"program group work\"\n" +
 				"Try 'program group work --help'.\n",
 		},
 		"unknown flag": {
-			"group work --x", nil, Misuse,
+			"group work --x", nil, ExitUsage,
 			"program group work: unknown flag: --x\nTry 'program group work --help'.\n",
 		},
 	} {
