--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -100,7 +100,7 @@
 	if peer, stamps, err := ParseClock(c); err == nil {
 		_, _ = fmt.Fprintf(b, "clock peer %q timestamps %v\n", peer, [4]int64(stamps))
 	}
-	if o, err := ParseNumberingOrder(c); err == nil && o.Op != "" {
+	if o, err := ParseNumberingCommand(c); err == nil && o.Op != "" {
 		_, _ = fmt.Fprintf(b, "numbering command %q file %q digest %q expected active %q activate at %d\n",
 			o.Op, o.File, o.Digest, o.ExpectedActive, o.ActivateAt)
 	}
--- a/internal/adminapi/numbering.go
+++ b/internal/adminapi/numbering.go
@@ -82,8 +82,8 @@
 	return modifyCommand(NumberingTermination, commandProperties.nodes(&o, true))
 }
 
-// ParseNumberingOrder parses the numbering command that an H.248 command carries.
-func ParseNumberingOrder(c *h248.Command) (numbering.Command, error) {
+// ParseNumberingCommand parses the numbering command that an H.248 command carries.
+func ParseNumberingCommand(c *h248.Command) (numbering.Command, error) {
 	var o numbering.Command
 	err := commandProperties.parse(&o, func(name string) string {
 		return h248.Value(c.Descriptors, h248.DescriptorMedia, h248.DescriptorTerminationState, name)
--- a/internal/server/audit.go
+++ b/internal/server/audit.go
@@ -28,7 +28,7 @@
 	if router == nil {
 		return nil, &h248.Error{Code: h248.UnknownTermination, Text: "no section [numbers]"}
 	}
-	order, err := adminapi.ParseNumberingOrder(c)
+	order, err := adminapi.ParseNumberingCommand(c)
 	if err == nil {
 		err = router.beginCommand(order, nil)
 	}
