--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -148,7 +148,7 @@
 // frames with a committed dump.
 func TestGoldenCommands(t *testing.T) {
 	var dump strings.Builder
-	for _, m := range goldentest.Messages(t, "commands.txt", goldenCommands(t)) {
+	for _, m := range goldentest.CompareMessages(t, "commands.txt", goldenCommands(t)) {
 		_, _ = fmt.Fprintf(&dump, "== %s\n", m.Name)
 		var framer h248.Framer
 		if err := framer.Feed(m.Bytes, func(text []byte) bool {
--- a/internal/codec/h248/golden_test.go
+++ b/internal/codec/h248/golden_test.go
@@ -148,7 +148,7 @@
 // TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
-	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages(t)) {
+	for _, m := range goldentest.CompareMessages(t, "messages.txt", goldenMessages(t)) {
 		texts, err := readFrames(m.Bytes)
 		if err != nil || len(texts) != 1 {
 			t.Errorf("%s: got %d messages, error %v", m.Name, len(texts), err)
--- a/internal/codec/jsonl/golden_test.go
+++ b/internal/codec/jsonl/golden_test.go
@@ -39,7 +39,7 @@
 // TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
-	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages()) {
+	for _, m := range goldentest.CompareMessages(t, "messages.txt", goldenMessages()) {
 		var r Reader
 		_, _ = fmt.Fprintf(&dump, "== %s\n", m.Name)
 		err := r.Feed(m.Bytes, func(m *Message) bool {
--- a/internal/codec/sip/golden_test.go
+++ b/internal/codec/sip/golden_test.go
@@ -43,7 +43,7 @@
 // TestGoldenMessages compares encoded messages and their parsed form with the golden files.
 func TestGoldenMessages(t *testing.T) {
 	var dump strings.Builder
-	for _, m := range goldentest.Messages(t, "messages.txt", goldenMessages()) {
+	for _, m := range goldentest.CompareMessages(t, "messages.txt", goldenMessages()) {
 		got, err := readAll(m.Bytes)
 		_, _ = fmt.Fprintf(&dump, "== %s: %d messages, error %v\n", m.Name, len(got), err)
 		for _, m := range got {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -27,8 +27,8 @@
 	CompareFile(t, filepath.Join("testdata", "golden", file), []byte(got))
 }
 
-// Messages compares encoded messages with a file in testdata/golden and returns the messages of that file.
-func Messages(t testing.TB, file string, encoded []Message) []Message {
+// CompareMessages compares encoded messages with a file in testdata/golden and returns the messages of that file.
+func CompareMessages(t testing.TB, file string, encoded []Message) []Message {
 	t.Helper()
 	Compare(t, file, format(encoded))
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", file))
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -96,7 +96,7 @@
 // Messages are encoded to the committed bytes, and these are decoded to the committed dump.
 func TestGoldenDatagrams(t *testing.T) {
 	var dump strings.Builder
-	for _, m := range goldentest.Messages(t, "datagrams.txt", goldenMessages()) {
+	for _, m := range goldentest.CompareMessages(t, "datagrams.txt", goldenMessages()) {
 		decoded, err := decode(m.Bytes)
 		_, _ = fmt.Fprintf(&dump, "== %s: %d bytes, error %v\n", m.Name, len(m.Bytes), err)
 		dumpMessage(&dump, decoded)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -339,5 +339,5 @@
 	transcripts := []goldentest.Message{s.exchange.transcript("to the exchange", s.ids), s.server.transcript("to the H.248 exchange", s.ids),
 		s.caller.transcript("to the caller", s.ids), s.gateway.transcript("to the gateway", s.ids)}
 	s.administer()
-	goldentest.Messages(t, "transcript.txt", append(transcripts, s.admin.transcript("to the operator", s.ids)))
+	goldentest.CompareMessages(t, "transcript.txt", append(transcripts, s.admin.transcript("to the operator", s.ids)))
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -56,7 +56,7 @@
 		}
 		sent = append(sent, goldentest.Message{Name: g.name, Bytes: b[:n]})
 	}
-	for i, m := range goldentest.Messages(t, "datagrams.txt", sent) {
+	for i, m := range goldentest.CompareMessages(t, "datagrams.txt", sent) {
 		if _, err := raws[i].WriteToUDPAddrPort(m.Bytes, netip.MustParseAddrPort(conns[i].Addr())); err != nil {
 			t.Fatal(err)
 		}
