--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -16,9 +16,9 @@
 
 // Exit codes of the programs.
 const (
-	ExitSuccess   = 0
+	ExitSuccess = 0
 	ExitFailure = 1
-	ExitUsage = 2 // an unknown command or flag, or invalid arguments
+	ExitUsage   = 2 // an unknown command or flag, or invalid arguments
 )
 
 // ErrReported makes Run return the exit code of a failure without printing an error message. A command returns it after
@@ -31,7 +31,7 @@
 func (e usageError) Error() string { return e.cause.Error() }
 func (e usageError) Unwrap() error { return e.cause }
 
-// Usage returns a formatted error in the command line. For such an error Run returns Misuse and prints a hint at the
+// Usage returns a formatted error in the command line. For such an error Run returns ExitUsage and prints a hint at the
 // help of the command.
 func Usage(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
