--- a/cmd/olivectl/report.go
+++ b/cmd/olivectl/report.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	result, err := readReport(ctx, stores, report.Options{From: period.from, To: period.to, Workers: f.workers})
 	if err != nil {
--- a/cmd/olivectl/top.go
+++ b/cmd/olivectl/top.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, src.Close()) }()
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	hasTerminal := cli.IsTerminal(os.Stdout) && cli.IsTerminal(os.Stdin)
 	switch {
--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -59,7 +59,7 @@
 	if base.Revision == "" {
 		return cli.Usage("--base names the commit to compare with")
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	build, err := revision.New(ctx, base)
 	if err != nil {
--- a/cmd/olivesim/demo.go
+++ b/cmd/olivesim/demo.go
@@ -38,7 +38,7 @@
 			if err := checkDemo(&o); err != nil {
 				return err
 			}
-			ctx, stop := cli.Interruptible(c)
+			ctx, stop := cli.SignalContext(c)
 			defer stop()
 			o.Out = c.OutOrStdout()
 			return demo.Run(ctx, o)
--- a/cmd/olivesim/load.go
+++ b/cmd/olivesim/load.go
@@ -32,7 +32,7 @@
 				return err
 			}
 			generator.Classes = scenario.Default().Class
-			ctx, stop := cli.Interruptible(c)
+			ctx, stop := cli.SignalContext(c)
 			defer stop()
 			if err := generator.Run(ctx); err != nil {
 				return err
--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -60,7 +60,7 @@
 	if err := f.mode.check(); err != nil {
 		return err
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	if f.mode == socketMode {
 		return f.cluster.play(ctx, c, clusterDays{path: path, scenario: sc, seeds: seeds, asJSON: f.days.asJSON})
--- a/cmd/olivesim/serve.go
+++ b/cmd/olivesim/serve.go
@@ -60,7 +60,7 @@
 	if f.exchanges < 1 || f.exchanges > maxServedExchanges {
 		return cli.Usage("--exchanges is 1 to %d", maxServedExchanges)
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	discovery, err := loopback.ListenNameService(f.discoveryAddr)
 	if err != nil {
--- a/cmd/olivesim/shrink.go
+++ b/cmd/olivesim/shrink.go
@@ -55,7 +55,7 @@
 	if err := f.mode.check(); err != nil {
 		return err
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	if f.mode == socketMode {
 		schedule := clusterShrink{scenario: sc, seed: f.seed, tries: f.tries, file: f.file}
--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -83,7 +83,7 @@
 			return err
 		}
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	s := &soakSeries{command: c, program: filepath.Join(programs, "olivedale"), dir: f.dir, startTime: time.Now()}
 	s.play(ctx, first, last, f.parallel)
--- a/cmd/olivesim/sweep.go
+++ b/cmd/olivesim/sweep.go
@@ -58,7 +58,7 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	ctx, stop := cli.Interruptible(c)
+	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	file := newFile(sc)
 	file.Vary = f.key
