--- a/cmd/oliveagent/main.go
+++ b/cmd/oliveagent/main.go
@@ -68,10 +68,10 @@
 // run checks the options, connects to etcd and keeps the instances running.
 func run(o options) error {
 	if o.dir == "" {
-		return cli.Usage("--dir is missing: name a folder for the files of the instances")
+		return cli.UsageErrorf("--dir is missing: name a folder for the files of the instances")
 	}
 	if err := o.log.Check(); err != nil {
-		return cli.Usage("--log-%w", err)
+		return cli.UsageErrorf("--log-%w", err)
 	}
 	logger := logging.New(os.Stderr, o.log)
 	// A relative path would refer to the working directory of the instance.
--- a/cmd/olivectl/numbers_order.go
+++ b/cmd/olivectl/numbers_order.go
@@ -160,7 +160,7 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, cli.Usage("--at: %q is no time such as 2026-12-02T03:00:00Z", text)
+		return 0, cli.UsageErrorf("--at: %q is no time such as 2026-12-02T03:00:00Z", text)
 	}
 	return numbering.Time(t.UnixNano()), nil
 }
--- a/cmd/olivectl/numbers_show.go
+++ b/cmd/olivectl/numbers_show.go
@@ -50,7 +50,7 @@
 func (f *showFlags) query(number string, now time.Time) (*numbering.Query, error) {
 	at, err := cli.ParseTime(f.at, now)
 	if err != nil {
-		return nil, cli.Usage("--at: %w", err)
+		return nil, cli.UsageErrorf("--at: %w", err)
 	}
 	if at.IsZero() {
 		at = now
@@ -67,7 +67,7 @@
 	}
 	digits, ok := numbering.ParseDigits(strings.TrimPrefix(f.moved, "+"))
 	if !ok {
-		return nil, cli.Usage("--moved: %q is no routing number", f.moved)
+		return nil, cli.UsageErrorf("--moved: %q is no routing number", f.moved)
 	}
 	q.Ported = numbering.PortingResult{State: numbering.Ported, Routing: digits}
 	return q, nil
--- a/cmd/olivectl/records.go
+++ b/cmd/olivectl/records.go
@@ -40,7 +40,7 @@
 func parseRecordTime(text string) (record.Time, error) {
 	t, err := cli.ParseTime(text, time.Now())
 	if err != nil {
-		return 0, cli.Usage("%w", err)
+		return 0, cli.UsageErrorf("%w", err)
 	}
 	if t.IsZero() {
 		return 0, nil
--- a/cmd/olivectl/records_filter.go
+++ b/cmd/olivectl/records_filter.go
@@ -45,7 +45,7 @@
 	for _, name := range f.kindNames {
 		kind, err := record.ParseKind(name)
 		if err != nil {
-			return cli.Usage("--kind: %w", err)
+			return cli.UsageErrorf("--kind: %w", err)
 		}
 		f.kinds = append(f.kinds, kind)
 	}
--- a/cmd/olivectl/records_print.go
+++ b/cmd/olivectl/records_print.go
@@ -61,7 +61,7 @@
 		Example: "  olivectl records tail --kind answer,gap /var/lib/olivedale/records",
 		RunE: func(c *cobra.Command, args []string) error {
 			if lines < 0 || lines > maxTailLines {
-				return cli.Usage("--lines: %d is not between 0 and %d", lines, maxTailLines)
+				return cli.UsageErrorf("--lines: %d is not between 0 and %d", lines, maxTailLines)
 			}
 			m, err := p.open(c, args)
 			if err != nil {
--- a/cmd/olivectl/report.go
+++ b/cmd/olivectl/report.go
@@ -57,7 +57,7 @@
 
 func makeReport(c *cobra.Command, f *reportFlags, dirs []string) error {
 	if f.html == "" && f.json == "" {
-		return cli.Usage("name a file: -o FILE.html, --json FILE, or both")
+		return cli.UsageErrorf("name a file: -o FILE.html, --json FILE, or both")
 	}
 	period, err := parseTimeRange(f.from, f.to)
 	if err != nil {
--- a/cmd/olivectl/top.go
+++ b/cmd/olivectl/top.go
@@ -72,10 +72,10 @@
 // newSource checks the flags and opens the source that they name.
 func (f *topFlags) newSource() (console.Source, error) {
 	if f.interval < minTopInterval || f.interval > maxTopInterval {
-		return nil, cli.Usage("--interval: %v is not between 100ms and 1m", f.interval)
+		return nil, cli.UsageErrorf("--interval: %v is not between 100ms and 1m", f.interval)
 	}
 	if f.speed < console.MinSpeed || f.speed > console.MaxSpeed {
-		return nil, cli.Usage("--speed: %v is not between 1/16 and 4096", f.speed)
+		return nil, cli.UsageErrorf("--speed: %v is not between 1/16 and 4096", f.speed)
 	}
 	start, err := f.replayStart()
 	if err != nil {
@@ -100,7 +100,7 @@
 	now := time.Now()
 	at, err := cli.ParseTime(f.at, now)
 	if err != nil {
-		return 0, cli.Usage("--at: %w", err)
+		return 0, cli.UsageErrorf("--at: %w", err)
 	}
 	switch {
 	case !at.IsZero():
--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -84,10 +84,10 @@
 
 func (f *clusterFlags) check() error {
 	if f.faults < 0 || f.faults > maxDrawnFaults {
-		return cli.Usage("--faults is 0 to %d", maxDrawnFaults)
+		return cli.UsageErrorf("--faults is 0 to %d", maxDrawnFaults)
 	}
 	if f.length < minClusterLength || f.length > maxClusterLength {
-		return cli.Usage("--for is %v to %v", minClusterLength, maxClusterLength)
+		return cli.UsageErrorf("--for is %v to %v", minClusterLength, maxClusterLength)
 	}
 	return nil
 }
--- a/cmd/olivesim/clustershrink.go
+++ b/cmd/olivesim/clustershrink.go
@@ -22,10 +22,10 @@
 // shrink finds the fewest faults of a schedule that still violate an invariant, and saves them as a schedule.
 func (f *clusterFlags) shrink(ctx context.Context, progress io.Writer, s clusterShrink) error {
 	if s.tries < 1 || s.tries > maxShrinkTries {
-		return cli.Usage("--tries is 1 to %d", maxShrinkTries)
+		return cli.UsageErrorf("--tries is 1 to %d", maxShrinkTries)
 	}
 	if s.file == "" {
-		return cli.Usage("-o names the file for the smaller schedule")
+		return cli.UsageErrorf("-o names the file for the smaller schedule")
 	}
 	options, err := f.options(s.scenario, s.seed, io.Discard)
 	if err != nil {
--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	if base.Revision == "" {
-		return cli.Usage("--base names the commit to compare with")
+		return cli.UsageErrorf("--base names the commit to compare with")
 	}
 	ctx, stop := cli.SignalContext(c)
 	defer stop()
--- a/cmd/olivesim/days.go
+++ b/cmd/olivesim/days.go
@@ -34,7 +34,7 @@
 // seeds returns the seeds of the days.
 func (d *dayFlags) seeds() ([]uint64, error) {
 	if d.count < 1 || d.count > maxDays {
-		return nil, cli.Usage("--days %d is not between 1 and %d", d.count, maxDays)
+		return nil, cli.UsageErrorf("--days %d is not between 1 and %d", d.count, maxDays)
 	}
 	return experiment.Seeds(d.firstSeed, d.count), nil
 }
--- a/cmd/olivesim/demo.go
+++ b/cmd/olivesim/demo.go
@@ -60,13 +60,13 @@
 func checkDemo(o *demo.Options) error {
 	switch {
 	case o.Controllers < 1 || o.Controllers > maxDemoControllers:
-		return cli.Usage("--controllers is 1 to %d", maxDemoControllers)
+		return cli.UsageErrorf("--controllers is 1 to %d", maxDemoControllers)
 	case o.Exchanges < minDemoExchanges || o.Exchanges > maxDemoExchanges:
-		return cli.Usage("--exchanges is %d to %d", minDemoExchanges, maxDemoExchanges)
+		return cli.UsageErrorf("--exchanges is %d to %d", minDemoExchanges, maxDemoExchanges)
 	case o.Rate <= 0 || o.Rate > maxDemoRate:
-		return cli.Usage("--rate is up to %d calls a second", maxDemoRate)
+		return cli.UsageErrorf("--rate is up to %d calls a second", maxDemoRate)
 	case o.For < minDemoLength || o.For > maxDemoLength:
-		return cli.Usage("--for is %v to %v", minDemoLength, maxDemoLength)
+		return cli.UsageErrorf("--for is %v to %v", minDemoLength, maxDemoLength)
 	}
 	return nil
 }
--- a/cmd/olivesim/hold.go
+++ b/cmd/olivesim/hold.go
@@ -20,7 +20,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			pid, err := strconv.Atoi(args[1])
 			if err != nil || pid <= 1 {
-				return cli.Usage("%q is no process id", args[1])
+				return cli.UsageErrorf("%q is no process id", args[1])
 			}
 			return cluster.KillWithParent(args[0], pid)
 		},
--- a/cmd/olivesim/load.go
+++ b/cmd/olivesim/load.go
@@ -56,11 +56,11 @@
 func checkLoad(generator *loopback.Load) error {
 	switch {
 	case len(generator.Addrs) == 0:
-		return cli.Usage("--to names a call controller")
+		return cli.UsageErrorf("--to names a call controller")
 	case generator.Rate <= 0 || generator.Rate > maxLoadRate:
-		return cli.Usage("--rate is up to %d calls a second", maxLoadRate)
+		return cli.UsageErrorf("--rate is up to %d calls a second", maxLoadRate)
 	case generator.Duration <= 0 || generator.Duration > maxLoadLength:
-		return cli.Usage("--for is up to %v", maxLoadLength)
+		return cli.UsageErrorf("--for is up to %v", maxLoadLength)
 	}
 	return nil
 }
--- a/cmd/olivesim/mode.go
+++ b/cmd/olivesim/mode.go
@@ -26,6 +26,6 @@
 	case virtualMode, socketMode:
 		return nil
 	default:
-		return cli.Usage("--floor is virtual or sockets, not %q", string(*m))
+		return cli.UsageErrorf("--floor is virtual or sockets, not %q", string(*m))
 	}
 }
--- a/cmd/olivesim/report.go
+++ b/cmd/olivesim/report.go
@@ -46,7 +46,7 @@
 }
 
 // errNoOutputFile says that a command that writes a page has no -o.
-var errNoOutputFile = cli.Usage("-o names the file to write")
+var errNoOutputFile = cli.UsageErrorf("-o names the file to write")
 
 // writePage writes a page to a file.
 func writePage(path, title string, parts []plot.Part) error {
--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -101,7 +101,7 @@
 		return options, nil
 	}
 	if days > 1 {
-		return options, cli.Usage("--call shows a call of one day: add --days 1")
+		return options, cli.UsageErrorf("--call shows a call of one day: add --days 1")
 	}
 	options.Watch = func(e invariant.Event) {
 		if e.Call == f.callID {
--- a/cmd/olivesim/serve.go
+++ b/cmd/olivesim/serve.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	if f.exchanges < 1 || f.exchanges > maxServedExchanges {
-		return cli.Usage("--exchanges is 1 to %d", maxServedExchanges)
+		return cli.UsageErrorf("--exchanges is 1 to %d", maxServedExchanges)
 	}
 	ctx, stop := cli.SignalContext(c)
 	defer stop()
--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -61,7 +61,7 @@
 		last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if err != nil || last < first || last-first >= maxSoakSeeds {
-		return 0, 0, cli.Usage("--seeds %q is no range of at most %d seeds", f.seeds, maxSoakSeeds)
+		return 0, 0, cli.UsageErrorf("--seeds %q is no range of at most %d seeds", f.seeds, maxSoakSeeds)
 	}
 	return first, last, nil
 }
@@ -72,7 +72,7 @@
 		return err
 	}
 	if f.parallel < 1 || f.parallel > maxSoakParallel {
-		return cli.Usage("--parallel is 1 to %d", maxSoakParallel)
+		return cli.UsageErrorf("--parallel is 1 to %d", maxSoakParallel)
 	}
 	programs, err := programDirectory(f.programs)
 	if err != nil {
--- a/cmd/olivesim/sweep.go
+++ b/cmd/olivesim/sweep.go
@@ -53,7 +53,7 @@
 	}
 	figure, err := result.FigureNamed(f.figure)
 	if err != nil {
-		return cli.Usage("--figure: %w", err)
+		return cli.UsageErrorf("--figure: %w", err)
 	}
 	if err := f.check(); err != nil {
 		return err
@@ -83,10 +83,10 @@
 // check returns a usage error if keys and values do not come in pairs.
 func (f *sweepFlags) check() error {
 	if f.key == "" || f.values == "" {
-		return cli.Usage("--vary and --values say what changes; see the example")
+		return cli.UsageErrorf("--vary and --values say what changes; see the example")
 	}
 	if (f.secondKey == "") != (f.secondValues == "") {
-		return cli.Usage("--beside and --besides go together; see the example")
+		return cli.UsageErrorf("--beside and --besides go together; see the example")
 	}
 	return nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,9 +31,9 @@
 func (e usageError) Error() string { return e.cause.Error() }
 func (e usageError) Unwrap() error { return e.cause }
 
-// Usage returns a formatted error in the command line. For such an error Run returns ExitUsage and prints a hint at the
+// UsageErrorf returns a formatted error in the command line. For such an error Run returns ExitUsage and prints a hint at the
 // help of the command.
-func Usage(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
+func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
 // Run executes a program's command line and returns its exit code. It prints an error as one line on the command's
 // standard error, followed by a hint at the help if it is a usage error.
@@ -109,5 +109,5 @@
 			names = append(names, subcommand.Name())
 		}
 	}
-	return Usage("missing command; available commands: %s", strings.Join(names, ", "))
+	return UsageErrorf("missing command; available commands: %s", strings.Join(names, ", "))
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,7 +30,7 @@
 		"failure":          {"group work", errors.New("no disk"), ExitFailure, "program group work: no disk\n"},
 		"reported failure": {"group work", fmt.Errorf("it: %w", ErrReported), ExitFailure, ""},
 		"usage error": {
-			"group work", Usage("--to: %d", 7), ExitUsage,
+			"group work", UsageErrorf("--to: %d", 7), ExitUsage,
 			"program group work: --to: 7\nTry 'program group work --help'.\n",
 		},
 		"missing command": {
