--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,8 +31,8 @@
 func (e usageError) Error() string { return e.cause.Error() }
 func (e usageError) Unwrap() error { return e.cause }
 
-// UsageErrorf returns a formatted error in the command line. For such an error Run returns ExitUsage and prints a hint at the
-// help of the command.
+// UsageErrorf returns a formatted error in the command line. For such an error Run returns ExitUsage and prints a hint
+// at the help of the command.
 func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
 // Run executes a program's command line and returns its exit code. It prints an error as one line on the command's
