--- a/cmd/olivectl/golden_agent_test.go
+++ b/cmd/olivectl/golden_agent_test.go
@@ -160,7 +160,7 @@
 	}
 	admin = freeAddr(t)
 	peer, number := freeAddr(t), 0
-	o := &config.Operator{H248: &config.H248{Listen: freeAddr(t), Admin: admin}, Records: &config.Records{Dir: filepath.Join(dir, "records")},
+	o := &config.OperatorConfig{H248: &config.H248{Listen: freeAddr(t), Admin: admin}, Records: &config.Records{Dir: filepath.Join(dir, "records")},
 		Numbering: &config.Numbering{File: rules, Lookup: config.Lookup{Servers: []string{"127.0.0.1:9"}}},
 		Overload:  &config.OverloadControl{Listen: peer, Peers: []string{peer, freeAddr(t)}, Number: &number}}
 	if err := o.Validate(); err != nil {
--- a/cmd/olivedale/serve.go
+++ b/cmd/olivedale/serve.go
@@ -36,7 +36,7 @@
 }
 
 // newNode reads the platform's configuration, applies its memory limit to the process and builds the node.
-func newNode(operator *config.Operator, logger *zap.Logger) (*server.Server, error) {
+func newNode(operator *config.OperatorConfig, logger *zap.Logger) (*server.Server, error) {
 	cfg, err := loadConfig()
 	if err != nil {
 		return nil, err
--- a/internal/agent/spec.go
+++ b/internal/agent/spec.go
@@ -64,8 +64,8 @@
 }
 
 // operatorFile returns the content of the operator's file for the instance.
-func (s *Spec) operatorFile() *config.Operator {
-	return &config.Operator{
+func (s *Spec) operatorFile() *config.OperatorConfig {
+	return &config.OperatorConfig{
 		Log:       s.Log,
 		H248:      s.H248,
 		Records:   s.Records,
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,9 +16,9 @@
 // OperatorPath is the path of the operator's file, relative to the root directory.
 const OperatorPath = "deploy/olivedale.toml"
 
-// An Operator is the parsed operator's file. A feature whose section is absent is disabled; the zero value stands for a
+// An OperatorConfig is the parsed operator's file. A feature whose section is absent is disabled; the zero value stands for a
 // missing file. deploy/olivedale.example.toml documents all keys.
-type Operator struct {
+type OperatorConfig struct {
 	Log       Log              `toml:"log"`
 	H248      *H248            `toml:"h248"`
 	Records   *Records         `toml:"records"`
@@ -42,7 +42,7 @@
 }
 
 // sections returns the optional sections that are present, in the order in which they are validated.
-func (o *Operator) sections() []section {
+func (o *OperatorConfig) sections() []section {
 	var present []section
 	if o.H248 != nil {
 		present = append(present, section{"h248", o.H248})
@@ -60,7 +60,7 @@
 }
 
 // Validate applies the defaults and returns a KeyError for the first invalid key.
-func (o *Operator) Validate() error {
+func (o *OperatorConfig) Validate() error {
 	if err := o.Log.Options().Check(); err != nil {
 		return &KeyError{"log", err}
 	}
@@ -73,8 +73,8 @@
 }
 
 // ParseOperator parses and validates the text of an operator's file. Its errors contain the line and the key.
-func ParseOperator(text []byte) (*Operator, error) {
-	var o Operator
+func ParseOperator(text []byte) (*OperatorConfig, error) {
+	var o OperatorConfig
 	meta, err := toml.Decode(string(text), &o)
 	if err != nil {
 		return nil, decodeError(err)
@@ -112,7 +112,7 @@
 // LoadOperator reads the operator's file below root; "" is the working directory. If the file does not exist, all
 // sections are absent. If the file has no section [h248] but the deprecated file at H248Path exists, that file supplies
 // the section and usesH248Path is true.
-func LoadOperator(root string) (o *Operator, usesH248Path bool, err error) {
+func LoadOperator(root string) (o *OperatorConfig, usesH248Path bool, err error) {
 	path := filepath.Join(root, OperatorPath)
 	if o, err = readOperator(path); err != nil {
 		return nil, false, err
@@ -133,10 +133,10 @@
 }
 
 // readOperator reads the file at path. It returns the zero value if the file does not exist.
-func readOperator(path string) (*Operator, error) {
+func readOperator(path string) (*OperatorConfig, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return &Operator{}, nil
+		return &OperatorConfig{}, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -177,7 +177,7 @@
 func goldenRecords(t *testing.T) *config.Records {
 	t.Helper()
 	r := &config.Records{Dir: t.TempDir()}
-	if err := (&config.Operator{Records: r}).Validate(); err != nil {
+	if err := (&config.OperatorConfig{Records: r}).Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return r
