--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,8 +16,8 @@
 // OperatorPath is the path of the operator's file, relative to the root directory.
 const OperatorPath = "deploy/olivedale.toml"
 
-// An OperatorConfig is the parsed operator's file. A feature whose section is absent is disabled; the zero value stands for a
-// missing file. deploy/olivedale.example.toml documents all keys.
+// An OperatorConfig is the parsed operator's file. A feature whose section is absent is disabled; the zero value stands
+// for a missing file. deploy/olivedale.example.toml documents all keys.
 type OperatorConfig struct {
 	Log       Log              `toml:"log"`
 	H248      *H248            `toml:"h248"`
