--- a/internal/cli/time.go
+++ b/internal/cli/time.go
@@ -30,5 +30,5 @@
 		return now.Add(-age), nil
 	}
 	return time.Time{}, fmt.Errorf(
-		"invalid time %q: use 2026-12-01T17:30:00Z, \"2026-12-01 17:30\" (UTC), or 90m for 90 minutes ago", text)
+		"%q is no time: use 2026-12-01T17:30:00Z, \"2026-12-01 17:30\" (UTC), or 90m for 90 minutes ago", text)
 }
