--- a/internal/sim/invariant/checker.go
+++ b/internal/sim/invariant/checker.go
@@ -1,8 +1,8 @@
-// Package invariant checks what a call controller must guarantee, by the messages on its connections: one final answer
-// for each call, in time; at most one open attempt for each call; no attempts at a server that drains; no overload of a
-// server during its slow start; no attempt within the retry guard.
+// Package invariant checks the guarantees of a call controller against the messages on its connections: one final
+// answer for each call, in time; at most one open attempt for each call; no attempts at a server that drains; no
+// overload of a server during its slow start; no attempt within the retry guard.
 //
-// The package shares no code with the controller and does not know how the controller decides.
+// The package shares no code with the controller and makes no assumption on how the controller decides.
 package invariant
 
 import (
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxKeptViolations bounds the violations that are kept. Further ones are only counted.
+	// maxKeptViolations bounds the violations that are kept with their events. Further ones are only counted.
 	maxKeptViolations = 100
-	// retention is how long a call is remembered after its deadline, to detect a second final answer.
+	// retention is how long the state of a call is kept after its deadline, to detect a second final answer.
 	retention = 10 * time.Second
 )
 
-// Checker checks a stream of events in the order of time. It is not safe for concurrent use.
+// Checker checks a stream of events that are sorted by time. It is not safe for concurrent use.
 type Checker struct {
 	limits        Limits
 	calls         map[callKey]*callState
-	inactiveSince map[serverKey]Time // since when a controller knows that a server drains or is removed
+	inactiveSince map[serverKey]Time // when a controller learned that a server drains or is removed
 	isPaused      map[string]bool    // by controller
 	deadlines     eventqueue.Queue[callKey]
-	releases      eventqueue.Queue[callKey] // deadlines of the notification of callers
-	breaches      []*Violation
+	notifications eventqueue.Queue[callKey] // deadlines of the notification of callers
+	violations    []*Violation
 	counts        map[Rule]int
 	eventCount    int
 }
@@ -37,7 +37,7 @@
 
 type serverKey struct{ controller, server string }
 
-// New returns a Checker that has seen no event.
+// New returns a Checker without events.
 func New(limits Limits) *Checker {
 	return &Checker{
 		limits:        limits,
@@ -48,11 +48,11 @@
 	}
 }
 
-// EventCount returns the number of events.
+// EventCount returns the number of recorded events.
 func (c *Checker) EventCount() int { return c.eventCount }
 
-// Violations returns the first violations in the order in which they were found, 100 at most.
-func (c *Checker) Violations() []*Violation { return c.breaches }
+// Violations returns the first violations, 100 at most, in the order of their detection.
+func (c *Checker) Violations() []*Violation { return c.violations }
 
 // Count returns how often a rule was violated.
 func (c *Checker) Count(r Rule) int { return c.counts[r] }
@@ -66,28 +66,28 @@
 	return total
 }
 
-// report counts a violation. The call is nil if the event belongs to no known call.
+// report counts a violation and keeps it while there is room. The call is nil if the event belongs to no known call.
 func (c *Checker) report(r Rule, e Event, call *callState, format string, args ...any) {
 	c.counts[r]++
-	if len(c.breaches) >= maxKeptViolations {
+	if len(c.violations) >= maxKeptViolations {
 		return
 	}
-	around := []Event{e}
+	events := []Event{e}
 	if call != nil {
-		around = slices.Clone(call.events)
+		events = slices.Clone(call.events)
 	}
-	c.breaches = append(c.breaches, &Violation{
+	c.violations = append(c.violations, &Violation{
 		Rule:       r,
 		At:         e.At,
 		Controller: e.Controller,
 		Call:       e.Call,
 		Server:     e.Server,
 		Text:       fmt.Sprintf(format, args...),
-		Events:     around,
+		Events:     events,
 	})
 }
 
-// Record checks an event.
+// Record checks an event. Deadlines that passed before it are checked first.
 func (c *Checker) Record(e Event) {
 	c.eventCount++
 	c.expire(e.At)
@@ -95,18 +95,18 @@
 	case ServerUpdated:
 		c.updateServer(e)
 	case ServerCrashed:
-		c.report(SlowStartRespected, e, nil, "%s was pushed over while it was cold", e.Server)
+		c.report(SlowStartRespected, e, nil, "%s crashed by overload during its slow start", e.Server)
 	case ControllerPaused:
 		c.pause(e)
 	case ControllerEnded:
 		c.forgetController(e.Controller)
 	case CallOffered, CallEstablished, CallRejected, CallAbandoned, AttemptSent, AttemptCanceled, AttemptUnsent,
 		AttemptAnswered, AttemptRejected, AttemptBroken, CallEnded, CallerNotified, CallerReleased, CallStanding:
-		c.seeCall(e)
+		c.checkCallEvent(e)
 	}
 }
 
-// updateServer records since when the controller knows that a server is inactive.
+// updateServer records when the controller learned that a server is inactive, or that it is active again.
 func (c *Checker) updateServer(e Event) {
 	key := serverKey{e.Controller, e.Server}
 	_, isKnown := c.inactiveSince[key]
@@ -118,13 +118,13 @@
 	}
 }
 
-// pause excuses late answers to the calls that are open while a controller is paused. Endpoint updates that it could
-// not read count from the time at which it continues.
+// pause allows late answers to the calls that are open while a controller is paused. Endpoint updates that it could
+// not read meanwhile count from the time at which it continues.
 func (c *Checker) pause(e Event) {
 	c.isPaused[e.Controller] = e.IsSet
 	for key, call := range c.calls {
 		if key.controller == e.Controller && call.answer.isDue {
-			call.answer.isExcused = true
+			call.answer.mayBeLate = true
 		}
 	}
 	for key, since := range c.inactiveSince {
@@ -149,9 +149,10 @@
 	}
 }
 
-// expire reports the calls whose answer or release is missing at its deadline, and forgets calls after their retention.
+// expire reports the calls whose final answer or release notification is missing at its deadline, and drops the state
+// of calls after their retention.
 func (c *Checker) expire(now Time) {
-	c.expireReleases(now)
+	c.expireNotifications(now)
 	for c.deadlines.NextTime() < now {
 		due, key := c.deadlines.Pop()
 		call := c.calls[key]
@@ -159,9 +160,9 @@
 			continue
 		}
 		if call.answer.isDue {
-			c.missAnswer(due, key, call)
+			c.recordMissingAnswer(due, key, call)
 		}
-		if due >= call.answer.deadline+retention && !c.keepsForRelease(call) {
+		if due >= call.answer.deadline+retention && !c.retainsForRelease(call) {
 			delete(c.calls, key)
 			continue
 		}
@@ -169,16 +170,16 @@
 	}
 }
 
-// missAnswer handles an answer that was not given by the deadline.
-func (c *Checker) missAnswer(deadline Time, key callKey, call *callState) {
+// recordMissingAnswer handles a final answer that was not given by the deadline.
+func (c *Checker) recordMissingAnswer(deadline Time, key callKey, call *callState) {
 	call.answer.isDue = false
 	call.answer.isMissed = true
-	if call.answer.isExcused {
-		return // not over: a controller that was paused learns late that the caller has gone, and may send attempts
+	if call.answer.mayBeLate {
+		return // not over: a paused controller learns late that the caller has left, and may still send attempts
 	}
 	call.answer.isOver = true
 	e := Event{At: deadline, Controller: key.controller, Call: key.call}
-	c.report(InTime, e, call, "%s has no answer when its caller gives up", key.call)
+	c.report(InTime, e, call, "%s has no final answer at its caller's deadline", key.call)
 }
 
 // Finish checks the calls that are open at the end of the events.
--- a/internal/sim/invariant/checker_test.go
+++ b/internal/sim/invariant/checker_test.go
@@ -38,11 +38,11 @@
 }
 
 func invite(server string, attempt int, at time.Duration) Event {
-	return on(AttemptSent, server, attempt, at)
+	return attemptEvent(AttemptSent, server, attempt, at)
 }
 
-// on returns an event of an attempt.
-func on(kind Kind, server string, attempt int, at time.Duration) Event {
+// attemptEvent returns an event of an attempt.
+func attemptEvent(kind Kind, server string, attempt int, at time.Duration) Event {
 	return Event{Kind: kind, Server: server, Attempt: attempt, At: at}
 }
 
@@ -51,40 +51,40 @@
 	return Event{Kind: ServerUpdated, Server: server, IsSet: true, At: at}
 }
 
-// A violation is reported under the name of its rule only, and nothing else is reported.
+// Each sequence violates no rule, or exactly the rule that it names.
 func TestRules(t *testing.T) {
 	setUp, established, rejected := Event{Kind: CallOffered}, Event{Kind: CallEstablished}, Event{Kind: CallRejected}
-	callerEnd := Event{Kind: CallAbandoned}
+	abandonedCall := Event{Kind: CallAbandoned}
 	lateSetUp := Event{Kind: CallOffered, At: 1990 * ms}
 	for name, test := range map[string]struct {
 		want   Rule // "": no violation
 		events []Event
 	}{
-		"answered":          {"", []Event{setUp, invite("x", 0, 0), on(AttemptAnswered, "x", 0, 0), established}},
+		"answered":          {"", []Event{setUp, invite("x", 0, 0), attemptEvent(AttemptAnswered, "x", 0, 0), established}},
 		"answered twice":    {OneAnswer, []Event{setUp, established, rejected}},
 		"answer to no call": {OneAnswer, []Event{established}},
 		"no answer":         {InTime, []Event{setUp, invite("x", 0, 0)}},
 		"late answer":       {InTime, []Event{setUp, {Kind: CallEstablished, At: 4 * time.Second}}},
-		"abandoned":         {"", []Event{setUp, callerEnd}},
+		"abandoned":         {"", []Event{setUp, abandonedCall}},
 		"controller killed": {"", []Event{setUp, {Kind: ControllerEnded}}},
 		"two open attempts": {OneAttempt, []Event{setUp, invite("x", 0, 0), invite("y", 1, 0), established}},
 		"attempts in sequence": {"", []Event{
-			setUp, invite("x", 0, 0), on(AttemptRejected, "x", 0, 0), invite("y", 1, 0), established,
+			setUp, invite("x", 0, 0), attemptEvent(AttemptRejected, "x", 0, 0), invite("y", 1, 0), established,
 		}},
 		"attempt after answer":  {OneAnswer, []Event{setUp, rejected, invite("x", 0, 0)}},
-		"attempt after abandon": {OneAnswer, []Event{setUp, callerEnd, invite("x", 0, 0)}},
+		"attempt after abandon": {OneAnswer, []Event{setUp, abandonedCall, invite("x", 0, 0)}},
 		"cold server crashed":   {SlowStartRespected, []Event{{Kind: ServerCrashed, Server: "x"}}},
 		"retry within the guard after a cancel": {RetryGuardRespected, []Event{
-			setUp, invite("x", 0, 10*ms), on(AttemptCanceled, "x", 0, 20*ms), invite("y", 1, 319*ms), established,
+			setUp, invite("x", 0, 10*ms), attemptEvent(AttemptCanceled, "x", 0, 20*ms), invite("y", 1, 319*ms), established,
 		}},
 		"retry after the guard": {"", []Event{
-			setUp, invite("x", 0, 10*ms), on(AttemptCanceled, "x", 0, 20*ms), invite("y", 1, 320*ms), established,
+			setUp, invite("x", 0, 10*ms), attemptEvent(AttemptCanceled, "x", 0, 20*ms), invite("y", 1, 320*ms), established,
 		}},
 		"retry within the guard after a reset": {RetryGuardRespected, []Event{
-			setUp, invite("x", 0, 10*ms), on(AttemptBroken, "x", 0, 20*ms), invite("x", 1, 30*ms), established,
+			setUp, invite("x", 0, 10*ms), attemptEvent(AttemptBroken, "x", 0, 20*ms), invite("x", 1, 30*ms), established,
 		}},
 		"retry of an unsent attempt": {"", []Event{
-			setUp, invite("x", 0, 10*ms), on(AttemptUnsent, "x", 0, 20*ms), invite("x", 1, 21*ms), established,
+			setUp, invite("x", 0, 10*ms), attemptEvent(AttemptUnsent, "x", 0, 20*ms), invite("x", 1, 21*ms), established,
 		}},
 		"draining server, soon": {"", []Event{
 			inactive("x", ms), lateSetUp, invite("x", 0, 2*time.Second), established,
@@ -99,7 +99,7 @@
 			inactive("x", ms), {Kind: ServerUpdated, Server: "x", At: 1900 * ms}, lateSetUp, invite("x", 0, 2500*ms), established,
 		}},
 		"cancel of an earlier attempt": {OneAttempt, []Event{
-			setUp, invite("x", 0, 0), on(AttemptRejected, "x", 0, 0), invite("x", 1, 0), on(AttemptCanceled, "x", 0, 0),
+			setUp, invite("x", 0, 0), attemptEvent(AttemptRejected, "x", 0, 0), invite("x", 1, 0), attemptEvent(AttemptCanceled, "x", 0, 0),
 			invite("y", 2, 0), established,
 		}},
 	} {
@@ -117,7 +117,7 @@
 	}
 }
 
-// A long run keeps no more than the open calls and those that ended within the retention.
+// In a long run the checker keeps the state of open calls and of those that ended within the retention only.
 func TestBounds(t *testing.T) {
 	c := New(DefaultLimits())
 	for i := range 100_000 {
@@ -127,19 +127,19 @@
 		c.Record(Event{Kind: CallRejected, At: at, Controller: "n", Call: id})
 	}
 	if n := len(c.calls); n > 11_000 {
-		t.Errorf("%d calls are kept", n)
+		t.Errorf("the state of %d calls is kept", n)
 	}
 	if c.Total() != 0 {
 		t.Errorf("%d violations", c.Total())
 	}
 }
 
-// endedAt returns the end of a call at its server, of which the caller must know by a time.
+// endedAt returns the end of a call at its server, of which the caller must be notified by a time.
 func endedAt(at, notifyBy time.Duration) Event {
 	return Event{Kind: CallEnded, Server: "x", At: at, Deadline: time.Second + notifyBy}
 }
 
-// The rules on established calls: a recorded sequence that keeps each, also at the last moment, and one that breaks it.
+// The rules on established calls: for each there are sequences that obey it, also at its limit, and that violate it.
 func TestReleaseRules(t *testing.T) {
 	setUp, established := Event{Kind: CallOffered}, Event{Kind: CallEstablished}
 	established2 := Event{Kind: CallEstablished, At: 2 * time.Second}
@@ -170,13 +170,13 @@
 		"ended where an earlier attempt was answered": {"", []Event{
 			setUp, {Kind: CallEstablished, Server: "y"}, endedAt(time.Second, 2*time.Second),
 		}},
-		"ended there before the answer": {"", []Event{
+		"ended at the earlier attempt before the answer": {"", []Event{
 			setUp, endedAt(time.Second, 2*time.Second), {Kind: CallEstablished, Server: "y", At: 1500 * ms},
 		}},
 		"an earlier attempt at the same server ended": {"", []Event{
 			setUp, endedAt(time.Second, 2*time.Second), {Kind: CallEstablished, Server: "x", Attempt: 1, At: 1500 * ms},
 		}},
-		"ended where it stands": {ReleasedInTime, []Event{
+		"ended where it is established": {ReleasedInTime, []Event{
 			setUp, {Kind: CallEstablished, Server: "x"}, endedAt(time.Second, 2*time.Second),
 		}},
 		"never established": {"", []Event{setUp, endedAt(time.Second, 2*time.Second), {Kind: CallRejected, At: 1500 * ms}}},
@@ -187,14 +187,14 @@
 			setUp, established, {Kind: CallRejected, Call: "other", At: 40 * time.Second},
 			endedAt(60*time.Second, 61*time.Second),
 		}},
-		"standing for its caller": {"", []Event{setUp, established, {Kind: CallStanding, At: 20 * time.Second}}},
-		"standing and just over": {"", []Event{
+		"still established for its caller": {"", []Event{setUp, established, {Kind: CallStanding, At: 20 * time.Second}}},
+		"still established, ended just now for its caller": {"", []Event{
 			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStanding, At: 9 * time.Second},
 		}},
-		"left standing": {NoneStanding, []Event{
+		"left established": {NoneStanding, []Event{
 			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStanding, At: 9*time.Second + ms},
 		}},
-		"left standing after an abandoned set-up": {NoneStanding, []Event{
+		"left established after an abandoned set-up": {NoneStanding, []Event{
 			setUp, {Kind: CallAbandoned, At: time.Second}, {Kind: CallStanding, At: 9*time.Second + ms},
 		}},
 	} {
@@ -209,13 +209,13 @@
 				}
 			}
 			if check(test.events...).Count(ReleasedInTime) > 0 {
-				t.Error("judged without Limits.JudgeReleases")
+				t.Error("ReleasedInTime was checked without Limits.JudgeReleases")
 			}
 		})
 	}
 }
 
-// An attempt that arrives after its caller left is a violation from Limits.AbandonGrace on.
+// An attempt that arrives Limits.AbandonGrace or later after its caller abandoned the call is a violation.
 func TestAbandonGrace(t *testing.T) {
 	limits := DefaultLimits()
 	limits.AbandonGrace = 300 * ms
@@ -223,7 +223,7 @@
 		c := checkWith(limits, Event{Kind: CallOffered}, Event{Kind: CallAbandoned, At: time.Second},
 			invite("x", 0, time.Second+after))
 		if n := c.Count(OneAnswer); n != want {
-			t.Errorf("%v after the caller left: %d violations, want %d", after, n, want)
+			t.Errorf("%v after the caller abandoned the call: %d violations, want %d", after, n, want)
 		}
 	}
 }
--- a/internal/sim/invariant/event.go
+++ b/internal/sim/invariant/event.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Time is a reading of the clock that all events share.
+// Time is a reading of the clock that all events of a run share.
 type Time = time.Duration
 
 // Kind is the kind of an Event.
@@ -24,21 +24,21 @@
 	AttemptAnswered              // the server answers the attempt
 	AttemptRejected              // the attempt ended and certainly did not run
 	AttemptBroken                // the attempt ended with its connection and may have run
-	ServerUpdated                // an endpoint update: Event.Server drains or is removed (Event.IsSet) or is active
+	ServerUpdated                // an endpoint update: Event.Server drains or is removed (Event.IsSet), or is active
 	ControllerEnded              // the controller ended; its calls need no final answer
 	ServerCrashed                // Event.Server crashed by overload during its slow start
 	ControllerPaused             // the controller's process is stopped (Event.IsSet) or continues
-	CallEnded                    // an established call ended at Event.Server; its caller must know by Event.Deadline
-	CallerNotified               // the release of an established call reached its caller
+	CallEnded                    // an established call ended at Event.Server; notify its caller by Event.Deadline
+	CallerNotified               // the caller was notified of the release of an established call
 	CallerReleased               // the caller released an established call
-	CallStanding                 // at the end of a run the call is still established at Event.Server
+	CallStanding                 // the call is still established at Event.Server at the end of a run
 )
 
 // String returns the name of the kind as it appears in logs.
 func (k Kind) String() string {
 	return [...]string{
-		"set-up", "stands", "refused", "caller ended", "invite", "cancel", "unsent", "answer", "turned back", "broke",
-		"told", "killed", "pushed over", "paused", "ended", "notified", "hung up", "standing",
+		"set-up", "stands", "refused", "caller ended", "invite", "cancel", "unsent", "answer", "did not run", "broke",
+		"told", "killed", "overload crash", "paused", "ended", "notified", "hung up", "standing",
 	}[k]
 }
 
--- a/internal/sim/invariant/rule.go
+++ b/internal/sim/invariant/rule.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Rule names an invariant.
+// Rule is the name of an invariant, as results have it.
 type Rule string
 
-// The rules.
+// The rules on set-ups and attempts.
 const (
 	OneAnswer           Rule = "one_answer"   // an offered call gets exactly one final answer
 	InTime              Rule = "in_time"      // the final answer comes before the caller abandons the call
@@ -18,30 +18,30 @@
 	RetryGuardRespected Rule = "release_kept" // no attempt within Limits.RetryGuard of a timeout, reset or cancel
 )
 
-// The rules on established calls. They are judged with Limits.JudgeReleases only.
+// The rules on established calls. They are checked with Limits.JudgeReleases only.
 const (
-	ReleasedInTime Rule = "released_in_time" // the caller of a call that ended is notified by CallEnded's deadline
-	NoneStanding   Rule = "none_standing"    // no exchange keeps a call established that is over for its caller
+	ReleasedInTime Rule = "released_in_time" // the caller of an ended call is notified by the deadline of CallEnded
+	NoneStanding   Rule = "none_standing"    // no exchange keeps a call established that ended for its caller
 )
 
 // ReleaseRules lists the rules on established calls.
 var ReleaseRules = []Rule{ReleasedInTime, NoneStanding}
 
-// Rules lists the rules that are judged always.
+// Rules lists the rules that are always checked.
 var Rules = []Rule{OneAnswer, InTime, OneAttempt, DrainRespected, SlowStartRespected, RetryGuardRespected}
 
 // Limits are the time limits of the rules.
 type Limits struct {
-	Drain      time.Duration // how long attempts may go on after the update that a server drains or is removed
+	Drain      time.Duration // how long attempts may continue after the update that a server drains or is removed
 	RetryGuard time.Duration // the retry guard
 	Slack      time.Duration // tolerance for clocks and transmission times; 0 in virtual time
-	// AbandonGrace is how long after its caller left an attempt of a call may still arrive at a server: where callers
-	// and servers are observed at their own ends, the messages cross.
+	// AbandonGrace is how long an attempt of a call may still arrive at a server after its caller abandoned the call.
+	// Where callers and servers are observed at their own ends, these messages cross.
 	AbandonGrace time.Duration
-	// JudgeReleases turns ReleaseRules on. The events must then tell the ends of all established calls, or the
-	// checker keeps them for good.
+	// JudgeReleases enables ReleaseRules. The events must then include the ends of all established calls; the checker
+	// never drops the state of a call without one.
 	JudgeReleases bool
-	// Standing is how long an exchange may keep a call that is over for its caller.
+	// Standing is how long an exchange may keep a call established after it ended for its caller.
 	Standing time.Duration
 }
 
@@ -50,7 +50,7 @@
 	return Limits{Drain: 2 * time.Second, RetryGuard: 300 * time.Millisecond}
 }
 
-// Violation is a violation of a rule. It implements error. The JSON keys and the text are part of the --json output.
+// Violation is one violation of a rule. It implements error. The JSON keys and the text are part of the --json output.
 type Violation struct {
 	Rule       Rule    `json:"Rule"`
 	At         Time    `json:"At"`
@@ -62,6 +62,6 @@
 }
 
 // Error implements error.
-func (b *Violation) Error() string {
-	return fmt.Sprintf("%s broken at %.6f by %s: %s", b.Rule, b.At.Seconds(), b.Controller, b.Text)
+func (v *Violation) Error() string {
+	return fmt.Sprintf("%s violated at %.6f s by %s: %s", v.Rule, v.At.Seconds(), v.Controller, v.Text)
 }
