--- a/internal/sim/exchange/call.go
+++ b/internal/sim/exchange/call.go
@@ -9,12 +9,12 @@
 	phaseSettingUp                    // the processor handles the set-up
 	phaseRinging                      // the called party has not answered
 	phaseAnswering                    // the answer waits for the processor
-	phaseEstablished                  // the call holds its circuit
+	phaseEstablished                  // the called party has answered
 	phaseReleasing                    // the release waits for the processor
 	phaseOver
 )
 
-// call is one attempt as the exchange sees it.
+// call is an attempt at the exchange, or the call that it established.
 type call struct {
 	Attempt
 	controller       string
@@ -23,8 +23,8 @@
 	receivedAt       Time
 	work             time.Duration // processor time spent so far
 	holdsCircuit     bool
-	isDropped        bool // the release is caused by a fault
-	isCallerReleased bool // the caller's side released the call: nobody waits for a message about it
+	isDropped        bool // a fault causes the release
+	isCallerReleased bool // the caller's side released the call, so no release is sent to the controller
 	establishedIndex int  // position in Exchange.established
 }
 
--- a/internal/sim/exchange/exchange.go
+++ b/internal/sim/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange models a telephone exchange (a call server) as a queueing system: circuits in ample number, and one
-// processor with a queue, for which set-ups, answers, releases, rejections and retransmissions all cost work. It
+// Package exchange models a telephone exchange (a call server) as a queueing system: a large number of circuits, and
+// one processor with a queue, which spends work on set-ups, answers, releases, rejections and retransmissions. It also
 // models slow start, crashes by overload and injected faults.
 //
-// An Exchange is a deterministic state machine: messages and the time go in, messages come out, and random numbers
-// come from a seeded source. It starts no goroutine, reads no clock and does no input or output, so the same model
-// runs in virtual time and behind sockets. It knows nothing about the decisions of call controllers.
+// An Exchange is a deterministic state machine: its inputs are messages, the time and a seeded source of random
+// numbers, its outputs are messages. It starts no goroutine, reads no clock and does no input or output, so that the
+// same model runs in virtual time and behind sockets. It does not depend on how call controllers decide.
 package exchange
 
 import (
@@ -25,7 +25,7 @@
 	Repeats     int `json:"Repeats"`  // retransmissions of queued set-ups
 	Rejected    int `json:"Rejected"` // set-ups rejected because the processor was overloaded
 	NoCircuit   int `json:"NoLines"`  // set-ups rejected because no circuit was free
-	Canceled    int `json:"GivenUp"`  // set-ups canceled, or dropped with the controller's connection
+	Canceled    int `json:"GivenUp"`  // set-ups canceled, or lost with the controller's connection
 	Established int `json:"Stood"`    // calls established
 	Ended       int `json:"Ended"`    // established calls that ended for any reason
 	Dropped     int `json:"Cut"`      // established calls that a fault ended
@@ -42,8 +42,8 @@
 // States of an Exchange.
 const (
 	Running State = iota
-	Hung          // it accepts messages and handles none
-	Down          // it crashed or was stopped, for good
+	Hung          // accepts messages and handles none
+	Down          // crashed or stopped, and does not return
 )
 
 // Exchange is the model of one exchange. It is not safe for concurrent use.
@@ -57,10 +57,10 @@
 	startedAt    Time
 	isColdStart  bool
 	slowdown     float64 // jobs take this many times longer
-	recentSetUps []Time  // arrivals within the last Settings.FallFor; kept during slow start only
+	recentSetUps []Time  // arrivals within the last Settings.CrashWindow; recorded during slow start only
 
 	calls         map[Attempt]*call
-	established   []*call // in no particular order; faults draw from it
+	established   []*call // in no particular order; faults select from it at random
 	circuits      int     // circuits that are in service
 	circuitsInUse int
 	processor     processor
@@ -68,8 +68,8 @@
 	outbox        []Message
 }
 
-// New returns a running exchange that started at startedAt. With isColdStart it has Settings.Start of its capacity
-// and warms up; otherwise it has its whole capacity.
+// New returns a running exchange that started at startedAt. With isColdStart it begins with Settings.SlowStartShare of
+// its capacity and warms up; otherwise it has its full capacity.
 func New(settings Settings, startedAt Time, isColdStart bool, rng *rand.Rand) *Exchange {
 	x := &Exchange{
 		settings:    settings,
@@ -94,7 +94,7 @@
 // EstablishedCalls returns the number of established calls.
 func (x *Exchange) EstablishedCalls() int { return len(x.established) }
 
-// Contains reports whether the exchange knows an attempt that is not over.
+// Contains reports whether an attempt, or the call that it established, is in progress at the exchange.
 func (x *Exchange) Contains(a Attempt) bool { return x.calls[a] != nil }
 
 // Speed returns the processor's speed; 1 is the full speed of a warm processor.
@@ -115,8 +115,8 @@
 	return delay
 }
 
-// drawWork draws the time that a job of a kind takes if it starts now.
-func (x *Exchange) drawWork(kind jobKind, now Time) time.Duration {
+// randomWork returns a random time that a job of a kind takes if it starts now.
+func (x *Exchange) randomWork(kind jobKind, now Time) time.Duration {
 	work := x.settings.meanWork(kind)
 	if x.settings.WorkVariation > 0 {
 		work = time.Duration(float64(work) * x.gamma.Rand())
@@ -124,7 +124,7 @@
 	return time.Duration(float64(work) / x.Speed(now))
 }
 
-func (x *Exchange) drawExponential(mean time.Duration) time.Duration {
+func (x *Exchange) randomExponential(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * x.rng.ExpFloat64())
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// Tick handles all jobs and timers that are due, in the order of time.
+// Tick handles all jobs and timers that are due, in chronological order.
 func (x *Exchange) Tick(now Time) {
 	for x.state == Running {
 		nextTimer := x.timers.NextTime()
@@ -161,8 +161,8 @@
 	}
 }
 
-// TakeMessages returns the messages sent since the last TakeMessages. The slice is valid until the next call of any
-// other method.
+// TakeMessages returns the messages sent since the previous call of TakeMessages. The slice is valid until the next
+// call of any other method.
 func (x *Exchange) TakeMessages() []Message {
 	messages := x.outbox
 	x.outbox = x.outbox[:0]
--- a/internal/sim/exchange/exchange_test.go
+++ b/internal/sim/exchange/exchange_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// setUpOnly returns settings of an exchange in which only set-ups cost work, 10 ms each.
-func setUpOnly() Settings {
+// setUpOnlySettings returns settings by which only set-ups cost work, 10 ms each.
+func setUpOnlySettings() Settings {
 	return Settings{SetUp: 10 * ms, Circuits: 1 << 20, MeanHoldingTime: map[string]time.Duration{"c": time.Second}}
 }
 
@@ -19,7 +19,7 @@
 	return New(settings, 0, isColdStart, rand.New(rand.NewPCG(1, 1)))
 }
 
-// runPoisson offers set-ups by a Poisson process to a new exchange for a time and returns the exchange.
+// runPoisson offers set-ups that arrive as a Poisson process to a new exchange, and returns the exchange.
 func runPoisson(settings Settings, rate float64, length time.Duration, seed uint64) *Exchange {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	x := New(settings, 0, false, rand.New(rand.NewPCG(seed, 2)))
@@ -41,7 +41,7 @@
 
 // checkMG1 compares the mean queueing delay of set-ups with that of an M/G/1 queue (Pollaczek-Khinchine formula).
 func checkMG1(t testing.TB, variation, load float64, length time.Duration) {
-	settings := setUpOnly()
+	settings := setUpOnlySettings()
 	settings.WorkVariation = variation
 	work := settings.SetUp.Seconds()
 	rate := load / work
@@ -56,7 +56,7 @@
 	}
 }
 
-// The queueing delay is that of an M/G/1 queue if set-ups are the only work. (At these lengths the standard deviation
+// If only set-ups cost work, the queueing delay is that of an M/G/1 queue. (At these lengths the standard deviation
 // of the mean is 1 to 1.5%.)
 func TestQueueingDelayOfMG1(t *testing.T) {
 	for _, variation := range []float64{0, 1} {
@@ -81,16 +81,16 @@
 	}
 }
 
-// A set-up waits for the job in service, but not for queued releases: the delay is that of the first class of a
+// A set-up waits for the job in service, but not for queued releases: its delay is that of the higher priority in a
 // non-preemptive queue with two priorities (Cobham's formula).
 func TestSetUpsPrecedeReleases(t *testing.T) {
 	t.Parallel()
-	settings := setUpOnly()
+	settings := setUpOnlySettings()
 	settings.Release, settings.WorkVariation = 6*ms, 1
 	rate := 50.0 // a load of 0.5 by set-ups and 0.3 by releases
 	x := runPoisson(settings, rate, 4000*time.Second, 8)
 	setUp, release := settings.SetUp.Seconds(), settings.Release.Seconds()
-	meanResidual := rate * (setUp*setUp + release*release) * 2 / 2 // of the job in service
+	meanResidual := rate * (setUp*setUp + release*release) * 2 / 2 // work of the job in service
 	want := meanResidual / (1 - rate*setUp)
 	got := meanDelay(x)
 	if math.Abs(got-want) > 0.03*want {
@@ -101,7 +101,7 @@
 	}
 }
 
-// runUntil ticks an exchange up to a time and returns the messages it sends.
+// runUntil runs an exchange up to a time and returns the messages that it sends.
 func runUntil(x *Exchange, end Time) (messages []Message) {
 	for next := x.NextDeadline(); next <= end; next = x.NextDeadline() {
 		x.Tick(next)
@@ -118,10 +118,10 @@
 	return counts
 }
 
-// An overloaded processor rejects set-ups, which costs work. Queued set-ups are retransmitted at doubled gaps, which
-// costs work too. A canceled set-up costs none.
+// Rejections by an overloaded processor cost work, and so do retransmissions of queued set-ups, whose intervals double.
+// A set-up that is canceled while it is queued costs none.
 func TestRejectionRetransmissionAndCancel(t *testing.T) {
-	settings := setUpOnly()
+	settings := setUpOnlySettings()
 	settings.SetUp, settings.Reject, settings.Retransmission = 100*ms, 5*ms, 1*ms
 	settings.MaxQueueingDelay, settings.RetransmissionInterval = 2*time.Second, 500*ms
 	x := newExchange(settings, false)
@@ -129,7 +129,7 @@
 		x.Invite(0, "n", Attempt{"", n}, "c")
 	}
 	if delay := x.QueueingDelay(0); delay != 2100*ms {
-		t.Errorf("the queueing delay is %v", delay)
+		t.Errorf("the queueing delay is %v, want 2.1 s", delay)
 	}
 	x.Cancel(0, Attempt{"", 20})
 	messages := append(append([]Message(nil), x.TakeMessages()...), runUntil(x, 4*time.Second)...)
@@ -138,17 +138,17 @@
 	}
 	// At 500 ms 15 or 16 set-ups are queued, at 1500 ms 4 to 6.
 	if x.Repeats < 18 || x.Repeats > 23 || x.Wasted != 9*5*ms {
-		t.Errorf("%d repeats, %v of work wasted", x.Repeats, x.Wasted)
+		t.Errorf("%d retransmissions, %v of work wasted", x.Repeats, x.Wasted)
 	}
 	if x.processor.setUpBacklog != 0 {
-		t.Errorf("a backlog of %v and no queued set-up", x.processor.setUpBacklog)
+		t.Errorf("the backlog is %v although no set-up is queued", x.processor.setUpBacklog)
 	}
 }
 
-// A processor in slow start has a share of its capacity, which grows, and crashes for good if the load is a multiple of
-// it. A warm processor does not crash.
+// A processor in slow start has a growing share of its capacity, and crashes if the load exceeds CrashFactor times
+// that share. A warm processor does not crash.
 func TestSlowStart(t *testing.T) {
-	settings := setUpOnly()
+	settings := setUpOnlySettings()
 	settings.SlowStartShare, settings.SlowStartPeriod, settings.CrashFactor, settings.CrashWindow = 0.25, 10*time.Second, 3, time.Second
 	for _, c := range []struct {
 		rate   float64 // set-ups a second
@@ -166,25 +166,26 @@
 			x.Invite(c.at+time.Duration(float64(n)/c.rate*float64(time.Second)), "n", Attempt{"", n}, "c")
 		}
 		if isDown := x.State() == Down; isDown != c.isDown {
-			t.Errorf("%v a second at %v: down %v", c.rate, c.at, isDown)
+			t.Errorf("%v set-ups a second at %v: down is %v", c.rate, c.at, isDown)
 		}
 	}
 	x := newExchange(settings, true)
 	for at, want := range map[Time]float64{0: 0.25, 5 * time.Second: 0.625, 20 * time.Second: 1} {
 		if got := x.Speed(at); got != want {
-			t.Errorf("at %v its speed is %v", at, got)
+			t.Errorf("the speed at %v is %v", at, got)
 		}
 	}
 	x.SetSlowdown(2)
 	if got := x.Speed(time.Minute); got != 0.5 {
-		t.Errorf("slowed down, its speed is %v", got)
+		t.Errorf("the speed is %v after a slowdown by 2", got)
 	}
 }
 
-// Circuits run out, are lost with their calls, and return to service. A connection loss ends open attempts and leaves
-// established calls. A hung exchange ignores set-ups, a stopped one has no work.
+// Set-ups beyond the number of circuits are rejected. A loss of circuits drops a share of the calls, and the circuits
+// return to service later. The loss of a connection ends open attempts but no established call. A hung exchange ignores
+// set-ups, and a stopped one has no work.
 func TestCircuitsAndFaults(t *testing.T) {
-	settings := setUpOnly()
+	settings := setUpOnlySettings()
 	settings.Circuits, settings.MeanHoldingTime = 10, map[string]time.Duration{"c": time.Hour}
 	x := newExchange(settings, false)
 	invite := func(from string, n int) { x.Invite(0, from, Attempt{from, n}, "c") }
@@ -220,11 +221,11 @@
 	x.Invite(6*time.Second, "b", Attempt{"b", 3}, "c")
 	x.SetHung(7*time.Second, false)
 	if messages := runUntil(x, 8*time.Second); len(messages) != 0 {
-		t.Errorf("messages about a set-up received while it hung: %v", messages)
+		t.Errorf("messages about a set-up that arrived while the exchange hung: %v", messages)
 	}
 	x.Stop()
 	x.Invite(8*time.Second, "b", Attempt{"b", 4}, "c")
 	if x.NextDeadline() != math.MaxInt64 {
-		t.Error("a stopped exchange has work")
+		t.Error("a stopped exchange still has a deadline")
 	}
 }
--- a/internal/sim/exchange/faults.go
+++ b/internal/sim/exchange/faults.go
@@ -9,10 +9,10 @@
 // minSlowdown keeps the speed of the processor finite.
 const minSlowdown = 0.01
 
-// SetSlowdown makes all jobs that start from now on take factor times longer; 1 ends the fault.
+// SetSlowdown multiplies the time of all jobs that start from now on by factor; 1 ends the fault.
 func (x *Exchange) SetSlowdown(factor float64) { x.slowdown = max(factor, minSlowdown) }
 
-// SetHung makes a running exchange accept messages and handle none, or makes a hung one continue.
+// SetHung makes a running exchange accept messages without handling them, or makes a hung one continue.
 func (x *Exchange) SetHung(now Time, isHung bool) {
 	switch {
 	case x.state == Down:
@@ -24,7 +24,7 @@
 	}
 }
 
-// Stop ends the exchange for good, without a message to anybody.
+// Stop ends the exchange without a message to its controllers. It cannot be started again.
 func (x *Exchange) Stop() {
 	x.state = Down
 	x.calls = make(map[Attempt]*call)
@@ -34,7 +34,8 @@
 	x.timers = eventqueue.Queue[timer]{}
 }
 
-// SetCircuitShare puts a share of the circuits into service, from 0 to 1. Calls on lost circuits are dropped.
+// SetCircuitShare sets the share of circuits that are in service, from 0 to 1. The same share of calls as of circuits
+// that are out of service is dropped.
 func (x *Exchange) SetCircuitShare(now Time, share float64) {
 	x.circuits = int(math.Round(share * float64(x.settings.Circuits)))
 	dropped := 0
@@ -44,7 +45,7 @@
 	x.DropCalls(now, dropped)
 }
 
-// DropCalls drops n established calls that are drawn at random, or all if there are fewer.
+// DropCalls drops n random established calls, or all if there are fewer.
 func (x *Exchange) DropCalls(now Time, n int) {
 	for range min(n, len(x.established)) {
 		c := x.established[x.rng.IntN(len(x.established))]
--- a/internal/sim/exchange/jobqueue.go
+++ b/internal/sim/exchange/jobqueue.go
@@ -4,7 +4,7 @@
 
 const (
 	setUpJob jobKind = iota
-	repeatJob
+	retransmissionJob
 	answerJob
 	releaseJob
 	rejectJob
@@ -16,10 +16,10 @@
 	call *call
 }
 
-// minCompactedJobs is the number of popped jobs from which push reclaims their space.
+// minCompactedJobs is how many jobs must have been popped before push reclaims their space.
 const minCompactedJobs = 64
 
-// jobQueue is a first-in, first-out queue that reuses its memory. The zero value is empty.
+// jobQueue is a first-in, first-out queue that reuses its memory. The zero value is an empty queue.
 type jobQueue struct {
 	jobs []job
 	head int // index of the first job; those before it have been popped
--- a/internal/sim/exchange/jobs.go
+++ b/internal/sim/exchange/jobs.go
@@ -13,13 +13,13 @@
 		x.TotalQueueingDelay += now - j.call.receivedAt
 		x.Served++
 	}
-	work := x.drawWork(j.kind, now)
+	work := x.randomWork(j.kind, now)
 	x.Work += work
 	j.call.work += work
 	x.processor.start(j, now+work)
 }
 
-// finishJob applies the effects of a job that the processor has finished.
+// finishJob applies the result of a job that the processor has finished.
 func (x *Exchange) finishJob(now Time, j job) {
 	c := j.call
 	switch j.kind {
@@ -28,7 +28,7 @@
 		x.Wasted += c.work
 		x.send(c, ProcessorBusy, 0)
 	case setUpJob:
-		if c.phase == phaseSettingUp { // else it was canceled meanwhile
+		if c.phase == phaseSettingUp { // otherwise it was canceled meanwhile
 			x.finishSetUp(now, c)
 		}
 	case answerJob:
@@ -37,11 +37,11 @@
 		}
 	case releaseJob:
 		x.finishRelease(c)
-	case repeatJob: // it only costs time
+	case retransmissionJob: // costs processor time only
 	}
 }
 
-// finishSetUp seizes a circuit for a call and lets the called party's telephone ring.
+// finishSetUp allocates a circuit to a call and starts ringing. It rejects the call if no circuit is free.
 func (x *Exchange) finishSetUp(now Time, c *call) {
 	if x.circuitsInUse >= x.circuits {
 		x.NoCircuit++
@@ -97,7 +97,7 @@
 	x.remove(c)
 }
 
-// remove forgets a call and frees its circuit.
+// remove deletes a call and frees its circuit.
 func (x *Exchange) remove(c *call) {
 	c.phase = phaseOver
 	delete(x.calls, c.Attempt)
--- a/internal/sim/exchange/message.go
+++ b/internal/sim/exchange/message.go
@@ -1,6 +1,6 @@
 package exchange
 
-// Attempt identifies a set-up. Several attempts of one call may pass through the same exchange.
+// Attempt identifies a set-up. One call may have several attempts at the same exchange.
 type Attempt struct {
 	Call   string
 	Number int // number of the attempt within its call
--- a/internal/sim/exchange/processor.go
+++ b/internal/sim/exchange/processor.go
@@ -21,17 +21,17 @@
 	p.setUpBacklog += p.settings.meanWork(kind)
 }
 
-// removeFromBacklog takes the mean work of a job off the backlog of set-ups.
+// removeFromBacklog subtracts the mean work of a job from the backlog of set-ups.
 func (p *processor) removeFromBacklog(kind jobKind) {
 	p.setUpBacklog -= min(p.settings.meanWork(kind), p.setUpBacklog)
 }
 
-// start makes a job the current one.
+// start begins to serve a job.
 func (p *processor) start(j job, finishesAt Time) {
 	p.isBusy, p.current, p.finishesAt = true, j, finishesAt
 }
 
-// nextJob removes the job that comes first. It skips the jobs of calls that ended while they were queued.
+// nextJob removes and returns the job of the highest priority. It skips jobs whose calls ended while they were queued.
 func (p *processor) nextJob() (j job, ok bool) {
 	if j, ok = p.rejections.pop(); ok {
 		return j, true
@@ -48,8 +48,8 @@
 		switch {
 		case !ok:
 			return job{}, false
-		case j.kind == repeatJob:
-			p.removeFromBacklog(repeatJob)
+		case j.kind == retransmissionJob:
+			p.removeFromBacklog(retransmissionJob)
 			return j, true
 		case j.call.phase == phaseQueued:
 			p.removeFromBacklog(setUpJob)
--- a/internal/sim/exchange/settings.go
+++ b/internal/sim/exchange/settings.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Settings describe an exchange. Work is given as the mean time that it takes a warm processor at full speed.
+// Settings describe an exchange. Work is the mean processing time on a warm processor at full speed.
 type Settings struct {
 	SetUp, Answer, Release, Reject, Retransmission time.Duration // mean work of each kind of message
 
 	WorkVariation          float64       // coefficient of variation of the work; 0: each message takes its mean
 	MaxQueueingDelay       time.Duration // set-ups are rejected while the queueing delay exceeds this; 0: never
-	RetransmissionInterval time.Duration // a queued set-up is retransmitted after this, then at doubled gaps; 0: never
+	RetransmissionInterval time.Duration // delay of the first retransmission of a queued set-up, doubled each time; 0: never
 	MeanRingTime           time.Duration // mean time until the called party answers; exponentially distributed
-	Circuits               int           // circuits
+	Circuits               int           // number of circuits
 
-	SlowStartShare  float64                  // share of its capacity that a processor has right after a cold start
-	SlowStartPeriod time.Duration            // the processor has its whole capacity this long after a cold start
-	CrashFactor     float64                  // a cold processor crashes at this multiple of its capacity; 0: never
-	CrashWindow     time.Duration            // period over which the load is compared with Fall
+	SlowStartShare  float64                  // share of the full capacity right after a cold start
+	SlowStartPeriod time.Duration            // time from a cold start until the processor has its full capacity
+	CrashFactor     float64                  // a processor in slow start crashes above this multiple of its capacity; 0: never
+	CrashWindow     time.Duration            // period over which the load is compared with CrashFactor
 	MeanHoldingTime map[string]time.Duration // mean holding time by class; exponentially distributed
 }
 
@@ -40,12 +40,13 @@
 	return nil
 }
 
-// Capacity returns how many calls a second a warm processor at full speed handles from set-up to release.
+// Capacity returns how many calls a second a warm processor at full speed handles, from set-up to release.
 func (s *Settings) Capacity() float64 {
 	return 1 / (s.SetUp + s.Answer + s.Release).Seconds()
 }
 
-// Warmth returns the share of its capacity, from Start to 1, that a processor has at an age since its cold start.
+// Warmth returns the share of its capacity, from SlowStartShare to 1, that a processor has at an age since its cold
+// start.
 func (s *Settings) Warmth(age time.Duration) float64 {
 	if age >= s.SlowStartPeriod {
 		return 1
@@ -58,7 +59,7 @@
 	switch kind {
 	case setUpJob:
 		return s.SetUp
-	case repeatJob:
+	case retransmissionJob:
 		return s.Retransmission
 	case answerJob:
 		return s.Answer
--- a/internal/sim/exchange/signaling.go
+++ b/internal/sim/exchange/signaling.go
@@ -1,9 +1,9 @@
 package exchange
 
-// maxAttempts bounds the attempts of one call that ReleaseCall looks for.
+// maxAttempts bounds the attempt numbers of a call that ReleaseCall looks up.
 const maxAttempts = 16
 
-// Invite receives a set-up from a controller.
+// Invite handles a set-up from a controller.
 func (x *Exchange) Invite(now Time, from string, a Attempt, class string) {
 	if x.state == Down {
 		return
@@ -30,7 +30,7 @@
 	x.startNextJob(now)
 }
 
-// InviteRejected receives a set-up and rejects it, whatever the load is. It costs the work of a rejection.
+// InviteRejected handles a set-up by rejecting it regardless of the load, which costs the work of a rejection.
 func (x *Exchange) InviteRejected(now Time, from string, a Attempt) {
 	if x.state != Running {
 		return
@@ -45,24 +45,24 @@
 	x.startNextJob(now)
 }
 
-// isCrashedByLoad records a set-up and reports whether the set-ups of the last Settings.FallFor crash a processor in
-// slow start: they exceed Settings.Fall times its present capacity.
+// isCrashedByLoad records a set-up and reports whether the load crashes a processor in slow start: the set-ups within
+// the last Settings.CrashWindow exceed Settings.CrashFactor times its present capacity.
 func (x *Exchange) isCrashedByLoad(now Time) bool {
-	set := &x.settings
-	isSlowStart := x.isColdStart && now-x.startedAt < set.SlowStartPeriod
-	if !isSlowStart || set.CrashFactor <= 0 {
+	settings := &x.settings
+	isSlowStart := x.isColdStart && now-x.startedAt < settings.SlowStartPeriod
+	if !isSlowStart || settings.CrashFactor <= 0 {
 		return false
 	}
 	x.recentSetUps = append(x.recentSetUps, now)
-	for now-x.recentSetUps[0] >= set.CrashWindow {
+	for now-x.recentSetUps[0] >= settings.CrashWindow {
 		x.recentSetUps = x.recentSetUps[1:]
 	}
-	limit := max(set.CrashFactor*set.Capacity()*x.Speed(now)*set.CrashWindow.Seconds(), 1)
+	limit := max(settings.CrashFactor*settings.Capacity()*x.Speed(now)*settings.CrashWindow.Seconds(), 1)
 	return float64(len(x.recentSetUps)) > limit
 }
 
-// Cancel ends an attempt that is not established. A queued set-up costs no work then; the answer of a later phase is
-// not sent.
+// Cancel ends an attempt that is not established. A set-up that is still queued costs no work then; in a later phase
+// the answer is not sent.
 func (x *Exchange) Cancel(now Time, a Attempt) {
 	c := x.calls[a]
 	if x.state != Running || c == nil || !c.isOpen() {
@@ -74,7 +74,8 @@
 	x.startNextJob(now)
 }
 
-// Release ends an attempt from the callers' side: it releases an established call and cancels an open one.
+// Release ends an attempt at the request of the caller's side: it releases an established call or cancels an open
+// attempt.
 func (x *Exchange) Release(now Time, a Attempt) {
 	c := x.calls[a]
 	if x.state != Running || c == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// ConnectionLost handles the loss of a controller's connection: its open attempts end, its established calls go on.
+// ConnectionLost handles the loss of a controller's connection: its open attempts end, its established calls continue.
 func (x *Exchange) ConnectionLost(now Time, from string) {
 	for _, c := range x.calls {
 		if c.controller == from && c.isOpen() {
--- a/internal/sim/exchange/timer.go
+++ b/internal/sim/exchange/timer.go
@@ -5,7 +5,7 @@
 type timerKind uint8
 
 const (
-	retransmitTimer timerKind = iota // a queued set-up is sent once more
+	retransmitTimer timerKind = iota // a queued set-up is retransmitted
 	answerTimer                      // the called party answers
 	holdingTimer                     // the holding time of an established call ends
 )
@@ -16,13 +16,13 @@
 	gap  time.Duration // time since the previous transmission; set for retransmitTimer only
 }
 
-// onTimer handles a timer that is due. It does nothing if the call has left the phase that the timer belongs to.
+// onTimer handles a timer that is due. It ignores the timer if the call has left the phase to which it belongs.
 func (x *Exchange) onTimer(now Time, t timer) {
 	c := t.call
 	switch {
 	case t.kind == retransmitTimer && c.phase == phaseQueued:
 		x.Repeats++
-		x.processor.pushSetUp(repeatJob, c)
+		x.processor.pushSetUp(retransmissionJob, c)
 		x.scheduleRetransmission(now, c, 2*t.gap)
 	case t.kind == answerTimer && c.phase == phaseRinging:
 		c.phase = phaseAnswering
@@ -36,7 +36,7 @@
 	x.timers.Push(now+gap, timer{kind: retransmitTimer, call: c, gap: gap})
 }
 
-// scheduleTimer sets a timer after an exponentially distributed time.
+// scheduleTimer sets a timer that is due after an exponentially distributed time.
 func (x *Exchange) scheduleTimer(now Time, kind timerKind, c *call, mean time.Duration) {
-	x.timers.Push(now+x.drawExponential(mean), timer{kind: kind, call: c})
+	x.timers.Push(now+x.randomExponential(mean), timer{kind: kind, call: c})
 }
