--- a/internal/sim/exchange/settings.go
+++ b/internal/sim/exchange/settings.go
@@ -12,13 +12,13 @@
 
 	WorkVariation          float64       // coefficient of variation of the work; 0: each message takes its mean
 	MaxQueueingDelay       time.Duration // set-ups are rejected while the queueing delay exceeds this; 0: never
-	RetransmissionInterval time.Duration // delay of the first retransmission of a queued set-up, doubled each time; 0: never
+	RetransmissionInterval time.Duration // delay of the first retransmission of a set-up, then doubled; 0: never
 	MeanRingTime           time.Duration // mean time until the called party answers; exponentially distributed
 	Circuits               int           // number of circuits
 
 	SlowStartShare  float64                  // share of the full capacity right after a cold start
 	SlowStartPeriod time.Duration            // time from a cold start until the processor has its full capacity
-	CrashFactor     float64                  // a processor in slow start crashes above this multiple of its capacity; 0: never
+	CrashFactor     float64                  // slow start: it crashes at this multiple of its capacity; 0: never
 	CrashWindow     time.Duration            // period over which the load is compared with CrashFactor
 	MeanHoldingTime map[string]time.Duration // mean holding time by class; exponentially distributed
 }
