--- a/internal/sim/fakeetcd/faults.go
+++ b/internal/sim/fakeetcd/faults.go
@@ -8,13 +8,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// faults are the faults that are active.
+// faults are the active faults.
 type faults struct {
-	watchesStalled    bool  // watches are accepted and deliver nothing, without an error
+	watchesStalled    bool  // watches are accepted but deliver nothing, without an error
 	noLeader          bool  // requests fail, and watches that require a leader end
-	keepAlivesIgnored bool  // leases are not renewed, and clients get no response
-	staleRevisions    int64 // serializable reads are so many revisions behind
-	lostResponses     int   // so many responses to the next writes are lost
+	keepAlivesIgnored bool  // keep-alive requests get no response, and leases are not renewed
+	staleRevisions    int64 // number of revisions by which serializable reads are behind
+	lostResponses     int   // number of writes to come whose responses are lost
 }
 
 // setFaults changes the active faults.
@@ -25,10 +25,10 @@
 	s.notifyWatches()
 }
 
-// StallWatches has watches deliver nothing, without an error, while on is true.
+// StallWatches makes watches deliver nothing, without an error, while on is true.
 func (s *Server) StallWatches(on bool) { s.setFaults(func(f *faults) { f.watchesStalled = on }) }
 
-// SetNoLeader has requests fail for want of a leader while on is true.
+// SetNoLeader makes requests fail with the error that there is no leader, while on is true.
 func (s *Server) SetNoLeader(on bool) {
 	s.setFaults(func(f *faults) {
 		f.noLeader = on
@@ -36,18 +36,19 @@
 	})
 }
 
-// IgnoreKeepAlives has keep-alive requests get no response and no effect while on is true.
+// IgnoreKeepAlives makes keep-alive requests have no effect and get no response while on is true.
 func (s *Server) IgnoreKeepAlives(on bool) { s.setFaults(func(f *faults) { f.keepAlivesIgnored = on }) }
 
-// SetStaleReads has serializable reads return the state of so many revisions ago, as a member does that lags.
+// SetStaleReads makes serializable reads return the state of the given number of revisions ago, as a lagging member
+// does.
 func (s *Server) SetStaleReads(revisions int64) {
 	s.setFaults(func(f *faults) { f.staleRevisions = revisions })
 }
 
-// LoseResponses loses the responses to the next n writes, which take effect.
+// LoseResponses drops the responses to the next n writes. The writes take effect.
 func (s *Server) LoseResponses(n int) { s.setFaults(func(f *faults) { f.lostResponses = n }) }
 
-// CompactAll compacts the whole history; watches that are behind it get an error.
+// CompactAll compacts the whole history. Watches that have not received all of it get an error.
 func (s *Server) CompactAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	s.notifyWatches()
 }
 
-// AdvanceClock moves the server's clock, by which leases expire.
+// AdvanceClock advances the server's clock, by which leases expire.
 func (s *Server) AdvanceClock(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,8 @@
 	s.revokeExpired()
 }
 
-// Restore goes back to the state at a revision, as a restore from a backup does: the revision is lower from then on,
-// there are no leases, and the cluster has another id if newCluster. Connections are reset.
+// Restore returns to the state at an earlier revision, as a restore from a backup does: the current revision decreases,
+// all leases are gone, and with newCluster the cluster has another id. Connections are reset.
 func (s *Server) Restore(revision int64, newCluster bool) error {
 	if err := s.resetTo(revision, newCluster); err != nil {
 		return err
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// loseResponse returns an error in place of the response to a write, if that is to be lost. Server.mu is held.
+// loseResponse returns an error in place of the response to a write if the response is to be lost. Server.mu is held.
 func (s *Server) loseResponse() error {
 	if s.faults.lostResponses == 0 {
 		return nil
--- a/internal/sim/fakeetcd/history.go
+++ b/internal/sim/fakeetcd/history.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// maxEvents bounds the history; older events are compacted.
+// maxEvents bounds the number of events in the history. Older ones are compacted.
 const maxEvents = 4096
 
 // noLease is the lease id of keys without a lease.
@@ -41,13 +41,13 @@
 	return keys, nil
 }
 
-// A change is one transaction: all of its events have one revision.
+// A change is a transaction, whose events all have the same revision.
 type change struct {
 	server *Server
 	events []*mvccpb.Event
 }
 
-// begin begins a change. Server.mu is held until commit.
+// begin starts a change. Server.mu must be held until commit.
 func (s *Server) begin() *change { return &change{server: s} }
 
 // put sets a key, attaches it to a lease and returns its previous value.
@@ -90,7 +90,7 @@
 	return previous
 }
 
-// commit makes the events one revision, if there are any.
+// commit adds the events to the history as one revision, if there are any.
 func (c *change) commit() {
 	if len(c.events) == 0 {
 		return
@@ -104,8 +104,8 @@
 	s.notifyWatches()
 }
 
-// inRange reports whether a key is in a range of the API: without an end the range is the key first alone, and the
-// end "\x00" means all keys from first on.
+// inRange reports whether a key is in a range as the API defines it: without an end the range has the key first only,
+// and the end "\x00" means all keys from first on.
 func inRange(key, first, end []byte) bool {
 	k := string(key)
 	isOpenEnded := len(end) == 1 && end[0] == 0
--- a/internal/sim/fakeetcd/kv.go
+++ b/internal/sim/fakeetcd/kv.go
@@ -65,7 +65,7 @@
 	return response, nil
 }
 
-// inRevisionBounds reports whether a key is within the bounds of revisions of a request.
+// inRevisionBounds reports whether the revisions of a key are within the bounds of a request.
 func inRevisionBounds(r *pb.RangeRequest, kv *mvccpb.KeyValue) bool {
 	switch {
 	case kv.ModRevision < r.MinModRevision, kv.CreateRevision < r.MinCreateRevision:
@@ -78,7 +78,7 @@
 	return true
 }
 
-// sortKeys sorts by what the request names, and by key where that is equal.
+// sortKeys sorts by the target of the request, and by key where that is equal.
 func sortKeys(r *pb.RangeRequest, all []*mvccpb.KeyValue) {
 	slices.SortFunc(all, compareKeys)
 	slices.SortStableFunc(all, func(a, b *mvccpb.KeyValue) int {
@@ -117,8 +117,8 @@
 	return keys
 }
 
-// write makes a change, and loses its response if that is to be lost. apply checks what can fail before it changes
-// anything. Server.mu is held.
+// write applies a change, and returns an error if its response is to be lost. apply must check everything that can fail
+// before it changes anything. Server.mu is held.
 func (s *Server) write(apply func(c *change) error) error {
 	if err := s.checkLeader(); err != nil {
 		return err
@@ -150,7 +150,7 @@
 	return response, nil
 }
 
-// checkPut returns why a put cannot be applied.
+// checkPut returns an error if a put cannot be applied.
 func (s *Server) checkPut(r *pb.PutRequest) error {
 	switch {
 	case len(r.Key) == 0:
--- a/internal/sim/fakeetcd/lease.go
+++ b/internal/sim/fakeetcd/lease.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// A lease ends after its TTL unless it is kept alive; its keys are deleted then.
+// A lease expires after its TTL unless it is kept alive. Its keys are deleted when it expires.
 type lease struct {
 	id      int64
 	ttl     time.Duration
@@ -21,15 +21,15 @@
 	keys    map[string]bool
 }
 
-// Bounds of leases.
+// Limits of leases.
 const (
 	maxLeases = 4096
-	// maxRequestedTTL is etcd's bound of the TTL that a client requests, in seconds.
+	// maxRequestedTTL is etcd's limit of the TTL that a client may request, in seconds.
 	maxRequestedTTL = 9_000_000_000
-	// maxTTL bounds the TTL that a lease has, in seconds: a year.
+	// maxTTL bounds the TTL that a lease gets, in seconds: one year.
 	maxTTL              = 365 * 24 * 3600
 	leaseExpiryInterval = 20 * time.Millisecond
-	// ttlOfNoLease is the TTL in the response for a lease that does not exist.
+	// ttlOfNoLease is the TTL in the response about a lease that does not exist.
 	ttlOfNoLease = -1
 )
 
@@ -130,7 +130,7 @@
 	return &pb.LeaseRevokeResponse{Header: s.header()}, nil
 }
 
-// LeaseKeepAlive implements the Lease service. While keep-alives are ignored it receives requests and sends nothing.
+// LeaseKeepAlive implements the Lease service. While keep-alives are ignored it receives requests and sends no response.
 func (s *Server) LeaseKeepAlive(stream pb.Lease_LeaseKeepAliveServer) error {
 	for {
 		r, err := stream.Recv()
@@ -153,8 +153,8 @@
 	}
 }
 
-// keepAlive renews a lease. The response is nil while keep-alives are ignored; it has the TTL 0 if there is no such
-// lease.
+// keepAlive renews a lease. The response is nil while keep-alives are ignored, and has the TTL 0 if the lease does not
+// exist.
 func (s *Server) keepAlive(id int64) (*pb.LeaseKeepAliveResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sim/fakeetcd/server.go
+++ b/internal/sim/fakeetcd/server.go
@@ -1,6 +1,6 @@
-// Package fakeetcd is the project's stand-in for etcd, written from etcd's published API: the KV, Lease and Watch
-// services over a bounded history, on loopback gRPC. It is a single member that stores nothing on disk. Tests inject
-// faults: stalled watches, lost responses, a missing leader, a restore from a backup. It never replicates.
+// Package fakeetcd is an in-memory etcd server for tests, written from etcd's published API. It serves the KV, Lease and
+// Watch services with a bounded history over gRPC on loopback. It is a single member without replication, and stores
+// nothing on disk. Tests inject faults: stalled watches, lost responses, a missing leader, a restore from a backup.
 package fakeetcd
 
 import (
@@ -14,8 +14,8 @@
 	"google.golang.org/grpc"
 )
 
-// A Server is an etcd server of one member. Its methods are safe for concurrent use, but for Serve and Stop, which
-// its owner calls one after the other.
+// A Server is an etcd server of one member. Its methods are safe for concurrent use, except for Serve and Stop, which
+// its owner must not call concurrently.
 type Server struct {
 	pb.UnimplementedKVServer
 	pb.UnimplementedWatchServer
@@ -30,11 +30,11 @@
 	clusterID  uint64
 	term       uint64
 	keys       map[string]*mvccpb.KeyValue
-	events     []*mvccpb.Event // the history; each event has the previous value
+	events     []*mvccpb.Event // the history; each event includes the previous value
 	leases     map[int64]*lease
 	nextLease  int64
-	clockShift time.Duration // added to the time
-	stopped    chan struct{} // closed when the server stops; nil: it does not serve
+	clockShift time.Duration // offset of the server's clock
+	stopped    chan struct{} // closed when the server stops; nil while it is stopped
 	faults     faults
 }
 
@@ -47,7 +47,7 @@
 // memberID is the id of the only member.
 const memberID = 1
 
-// Start starts a server on an address; port 0 takes a free one.
+// Start starts a server on an address; port 0 selects a free one.
 func Start(addr string) (*Server, error) {
 	s := &Server{
 		addr:      addr,
@@ -64,7 +64,7 @@
 	return s, nil
 }
 
-// Serve starts a stopped server on the same address, with the keys that it has. Stop ends its goroutines.
+// Serve starts a stopped server on the same address, with its keys unchanged. Stop ends its goroutines.
 func (s *Server) Serve() error {
 	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
--- a/internal/sim/fakeetcd/txn.go
+++ b/internal/sim/fakeetcd/txn.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// maxTxnOps bounds the operations of a transaction, as etcd does.
+// maxTxnOps bounds the operations of a transaction, as in etcd.
 const maxTxnOps = 128
 
 // Txn implements the KV service.
@@ -34,8 +34,8 @@
 	return response, nil
 }
 
-// checkBranches returns why one of the two branches of a transaction cannot be applied. put has the keys that the
-// transactions around it put.
+// checkBranches returns an error if one of the two branches of a transaction cannot be applied. put has the keys that
+// the enclosing transactions put.
 func (s *Server) checkBranches(r *pb.TxnRequest, put map[string]bool) error {
 	for _, branch := range [][]*pb.RequestOp{r.Success, r.Failure} {
 		branchPut := make(map[string]bool)
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// checkOps returns why operations cannot be applied; above all, a key must not be put twice. It adds the keys that
-// the operations put.
+// checkOps returns an error if operations cannot be applied, for instance because they put a key twice. It adds the
+// keys that they put to put.
 func (s *Server) checkOps(ops []*pb.RequestOp, put map[string]bool) error {
 	if len(ops) > maxTxnOps {
 		return rpctypes.ErrGRPCTooManyOps
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// applyTxn compares and applies one branch of a transaction.
+// applyTxn evaluates the comparisons of a transaction and applies the branch that they select.
 func (c *change) applyTxn(r *pb.TxnRequest) (*pb.TxnResponse, error) {
 	response := &pb.TxnResponse{Succeeded: true}
 	for _, comparison := range r.Compare {
@@ -144,8 +144,8 @@
 	}
 }
 
-// isTrue reports whether a comparison is true for every key in its range. A range without keys is compared as one key
-// with revisions and version 0 and without a value.
+// isTrue reports whether a comparison is true for every key in its range. A range without keys is compared like a key
+// that does not exist: its revisions and its version are 0.
 func (s *Server) isTrue(comparison *pb.Compare) bool {
 	hasKeys := false
 	for _, kv := range s.keys {
@@ -160,7 +160,7 @@
 	return hasKeys || isTrueOf(comparison, &mvccpb.KeyValue{})
 }
 
-// isTrueOf reports whether a comparison is true for one key. A key that does not exist has no value to compare.
+// isTrueOf reports whether a comparison is true for one key. Comparisons of the value of a missing key are false.
 func isTrueOf(comparison *pb.Compare, kv *mvccpb.KeyValue) bool {
 	exists := kv.Key != nil
 	if comparison.Target == pb.Compare_VALUE && !exists {
@@ -179,7 +179,7 @@
 	}
 }
 
-// compareWith compares a key with the value of a comparison.
+// compareWith compares a property of a key with the operand of a comparison.
 func compareWith(comparison *pb.Compare, kv *mvccpb.KeyValue) int {
 	switch comparison.Target {
 	case pb.Compare_VERSION:
--- a/internal/sim/fakeetcd/watch.go
+++ b/internal/sim/fakeetcd/watch.go
@@ -12,16 +12,16 @@
 // maxWatches bounds the watches of a stream.
 const maxWatches = 256
 
-// noWatchID is the watch id in responses that concern no watch, or one that could not be created.
+// noWatchID is the watch id in responses that belong to no watch, or to one that could not be created.
 const noWatchID = -1
 
-// A watchStream is a client's stream, which carries several watches.
+// A watchStream is a client's stream, on which it may have several watches.
 type watchStream struct {
 	server         *Server
 	stream         pb.Watch_WatchServer
 	requiresLeader bool
 
-	mu      sync.Mutex // also of Send: one message at a time
+	mu      sync.Mutex // also held while sending, because streams do not support concurrent Sends
 	nextID  int64
 	cancels map[int64]context.CancelFunc // by watch id
 	watches sync.WaitGroup
@@ -41,7 +41,7 @@
 	defer cancel()
 	requests := make(chan *pb.WatchRequest)
 	failed := make(chan error, 1)
-	go w.receive(ctx, requests, failed) // it ends with the stream
+	go w.receive(ctx, requests, failed) // returns when the stream ends
 	for {
 		changed, err := w.checkLeader()
 		if err != nil {
@@ -54,7 +54,7 @@
 			}
 			return err
 		case r := <-requests:
-			if err := w.take(ctx, r); err != nil {
+			if err := w.handle(ctx, r); err != nil {
 				return err
 			}
 		case <-changed:
@@ -62,7 +62,7 @@
 	}
 }
 
-// receive passes on the client's requests until the stream ends.
+// receive forwards the client's requests until the stream ends.
 func (w *watchStream) receive(ctx context.Context, requests chan<- *pb.WatchRequest, failed chan<- error) {
 	for {
 		r, err := w.stream.Recv()
@@ -78,8 +78,8 @@
 	}
 }
 
-// checkLeader returns an error if the stream requires a leader and there is none, and a channel that is closed when
-// the server changes.
+// checkLeader returns an error if the stream requires a leader and there is none. The channel is closed when the
+// server changes.
 func (w *watchStream) checkLeader() (<-chan struct{}, error) {
 	w.server.mu.Lock()
 	defer w.server.mu.Unlock()
@@ -89,8 +89,8 @@
 	return w.server.changed, nil
 }
 
-// take handles one request.
-func (w *watchStream) take(ctx context.Context, r *pb.WatchRequest) error {
+// handle handles one request.
+func (w *watchStream) handle(ctx context.Context, r *pb.WatchRequest) error {
 	switch r := r.RequestUnion.(type) {
 	case *pb.WatchRequest_CreateRequest:
 		return w.create(ctx, r.CreateRequest)
@@ -117,16 +117,16 @@
 	return w.server.header()
 }
 
-// send sends a message; the watches of a stream share it.
+// send sends a message on the stream, which its watches share.
 func (w *watchStream) send(r *pb.WatchResponse) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stream.Send(r)
 }
 
-// cancel ends a watch on the client's request.
+// cancel ends a watch at the client's request.
 func (w *watchStream) cancel(id int64) error {
-	cancel := w.forget(id)
+	cancel := w.remove(id)
 	if cancel == nil {
 		return nil
 	}
@@ -134,8 +134,8 @@
 	return w.send(&pb.WatchResponse{Header: w.header(), WatchId: id, Canceled: true})
 }
 
-// forget removes a watch and returns the function that cancels it, or nil if there is no such watch.
-func (w *watchStream) forget(id int64) context.CancelFunc {
+// remove removes a watch and returns the function that cancels it, or nil if there is no such watch.
+func (w *watchStream) remove(id int64) context.CancelFunc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	cancel := w.cancels[id]
@@ -154,7 +154,7 @@
 			WatchId:      noWatchID,
 			Created:      true,
 			Canceled:     true,
-			CancelReason: "the watch id is taken, or there are too many watches",
+			CancelReason: "the watch id is in use, or there are too many watches",
 		})
 	}
 	from := r.StartRevision
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// register registers a watch under the requested id, or under a free one if that is 0. It reports false if the id is
-// taken, or there are too many watches.
+// register registers a watch under the requested id, or under an unused one if that is 0. It reports false if the id
+// is in use, or if there are too many watches.
 func (w *watchStream) register(requested int64, cancel context.CancelFunc) (int64, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,7 +189,7 @@
 	return id, true
 }
 
-// newID returns an id that no watch has. watchStream.mu is held.
+// newID returns an unused id. watchStream.mu is held.
 func (w *watchStream) newID() int64 {
 	for {
 		w.nextID++
--- a/internal/sim/fakeetcd/watch_events.go
+++ b/internal/sim/fakeetcd/watch_events.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// progressInterval is the time without an event after which a watch gets a progress notification; etcd takes
+	// progressInterval is the time without an event after which a watch gets a progress notification. In etcd it is
 	// ten minutes.
 	progressInterval = 500 * time.Millisecond
-	// fragmentBytes is the size from which events are sent in fragments; etcd takes 1.5 MiB.
+	// fragmentBytes is the size from which events are sent in fragments. In etcd it is 1.5 MiB.
 	fragmentBytes = 1 << 10
 )
 
@@ -20,7 +20,7 @@
 type watch struct {
 	stream  *watchStream
 	id      int64
-	next    int64 // first revision that was not delivered
+	next    int64 // first revision that has not been delivered
 	request *pb.WatchCreateRequest
 }
 
@@ -48,16 +48,16 @@
 	}
 }
 
-// A batch is what a watch has to deliver at one time.
+// A batch is the pending output of a watch.
 type batch struct {
 	response  *pb.WatchResponse
 	next      int64 // first revision after the batch
-	compacted bool  // events that were not delivered are compacted
+	compacted bool  // events that have not been delivered are compacted
 	stalled   bool
 	changed   <-chan struct{} // closed when the server changes
 }
 
-// collect returns what is to be delivered now.
+// collect returns the events that are to be delivered now.
 func (w *watch) collect() batch {
 	s := w.stream.server
 	s.mu.Lock()
@@ -75,8 +75,8 @@
 		return b
 	}
 	for _, e := range s.events {
-		if e.Kv.ModRevision >= w.next && w.wants(e) {
-			b.response.Events = append(b.response.Events, w.view(e))
+		if e.Kv.ModRevision >= w.next && w.matches(e) {
+			b.response.Events = append(b.response.Events, w.format(e))
 		}
 	}
 	return b
@@ -85,7 +85,7 @@
 // deliver sends a batch. It reports false if the watch has ended.
 func (w *watch) deliver(b batch) bool {
 	if b.compacted {
-		w.stream.forget(w.id)
+		w.stream.remove(w.id)
 		_ = w.stream.send(b.response)
 		return false
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// fragmentLength returns how many events the next fragment has: at least one.
+// fragmentLength returns the number of events in the next fragment, which is at least one.
 func (w *watch) fragmentLength(events []*mvccpb.Event) int {
 	if !w.request.Fragment {
 		return len(events)
@@ -132,8 +132,8 @@
 	return len(events)
 }
 
-// wants reports whether the watch's range and filters include an event.
-func (w *watch) wants(e *mvccpb.Event) bool {
+// matches reports whether the range and the filters of the watch include an event.
+func (w *watch) matches(e *mvccpb.Event) bool {
 	for _, filter := range w.request.Filters {
 		filtersPut := filter == pb.WatchCreateRequest_NOPUT && e.Type == mvccpb.PUT
 		filtersDelete := filter == pb.WatchCreateRequest_NODELETE && e.Type == mvccpb.DELETE
@@ -144,8 +144,8 @@
 	return inRange(e.Kv.Key, w.request.Key, w.request.RangeEnd)
 }
 
-// view returns an event as the watch requested it, with or without the previous value.
-func (w *watch) view(e *mvccpb.Event) *mvccpb.Event {
+// format returns an event as the watch requested it, with or without the previous value.
+func (w *watch) format(e *mvccpb.Event) *mvccpb.Event {
 	if w.request.PrevKv {
 		return e
 	}
