--- a/internal/sim/soak/bad_client.go
+++ b/internal/sim/soak/bad_client.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// badClientLimit is within which a bad client gets an answer or a close.
+	// badClientLimit is the time within which a bad client must get an answer or a close.
 	badClientLimit = 3 * time.Second
-	// badClientInterval is the mean time between two bad clients of a controller.
+	// badClientInterval is the mean interval at which bad clients connect to a controller.
 	badClientInterval = 150 * time.Millisecond
 )
 
-// badInputs are what bad clients send.
+// badInputs are the malformed or invalid messages that bad clients send.
 var badInputs = []string{
 	"\x00\x01\x02\xff\xfe",
 	"{\"verb\":\"START\",\"tag\":\"zz\"}\n",
@@ -33,8 +33,8 @@
 	strings.Repeat("x", 40_000),
 }
 
-// sendBadInput plays bad clients until the channel is closed.
-func (k *callers) sendBadInput(done <-chan struct{}, seed uint64) {
+// runBadClients opens bad clients at random intervals until the channel is closed.
+func (k *callers) runBadClients(done <-chan struct{}, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77+uint64(k.controller.number)))
 	for {
 		wait := time.Duration(rng.ExpFloat64() * float64(badClientInterval))
@@ -42,13 +42,13 @@
 		case <-done:
 			return
 		case <-time.After(wait):
-			go k.playBadClient(badInputs[rng.IntN(len(badInputs))], rng.IntN(2) == 0)
+			go k.runBadClient(badInputs[rng.IntN(len(badInputs))], rng.IntN(2) == 0)
 		}
 	}
 }
 
-// playBadClient sends something bad and awaits an answer or a close.
-func (k *callers) playBadClient(input string, closesAtOnce bool) {
+// runBadClient sends a bad input and waits for an answer or a close.
+func (k *callers) runBadClient(input string, closesAtOnce bool) {
 	k.mu.Lock()
 	mayCall, generation := k.mayCall(true), k.generation
 	k.mu.Unlock()
@@ -68,10 +68,10 @@
 		return // answered or closed
 	}
 	k.mu.Lock()
-	isSame := generation == k.generation
+	isSameProcess := generation == k.generation
 	k.mu.Unlock()
-	if isSame {
-		k.run.judge.violate(RuleBadClient, k.controller.name, "", "no answer and no close within %v of %s",
+	if isSameProcess {
+		k.run.judge.violate(RuleBadClient, k.controller.name, "", "neither an answer nor a close within %v of %s",
 			badClientLimit, fmt.Sprintf("%.40q", input))
 	}
 }
--- a/internal/sim/soak/caller_conn.go
+++ b/internal/sim/soak/caller_conn.go
@@ -13,22 +13,22 @@
 const (
 	callerDialTimeout  = time.Second
 	callerWriteTimeout = time.Second
-	// crossingTime is how long before the end of its connection a set-up may have been sent that is sent again.
+	// crossingTime bounds the age of a set-up that crossed the close of its connection. Such a set-up is resent.
 	crossingTime = 50 * time.Millisecond
-	// Slow writers send pieces of up to maxPiece bytes with up to maxPause in between.
-	maxPiece = 40
-	maxPause = 4 * time.Millisecond
+	// Slow writers send chunks of up to maxChunk bytes with pauses of up to maxChunkPause between them.
+	maxChunk      = 40
+	maxChunkPause = 4 * time.Millisecond
 )
 
-var errNoConnection = errors.New("no connection may be opened")
+var errNoConnection = errors.New("no connection may be opened now")
 
 // A callerConn is a connection of callers to a controller.
 type callerConn struct {
 	callers    *callers
 	conn       net.Conn
-	generation int // of the process it leads to
+	generation int // of the controller's process
 
-	mu             sync.Mutex // one writer at a time
+	mu             sync.Mutex // also held while writing
 	isClosed       bool
 	closedByCaller bool
 }
@@ -77,37 +77,37 @@
 	_ = c.conn.Close()
 }
 
-// A pace is how a message is written: in pieces with pauses, the rest at once.
-type pace struct {
+// A chunking says how a message is written: first in chunks with pauses, then the rest at once.
+type chunking struct {
 	lengths []int
 	pauses  []time.Duration
 }
 
-// drawPace draws the pace of a slow writer. callers.mu is held.
-func (k *callers) drawPace(length int) (p pace) {
-	for length > maxPiece {
-		piece := 1 + k.rng.IntN(maxPiece)
-		length -= piece
-		p.lengths = append(p.lengths, piece)
-		p.pauses = append(p.pauses, time.Duration(k.rng.Int64N(int64(maxPause))))
+// randomChunking returns a random chunking for a slow writer. callers.mu is held.
+func (k *callers) randomChunking(length int) (result chunking) {
+	for length > maxChunk {
+		chunk := 1 + k.rng.IntN(maxChunk)
+		length -= chunk
+		result.lengths = append(result.lengths, chunk)
+		result.pauses = append(result.pauses, time.Duration(k.rng.Int64N(int64(maxChunkPause))))
 	}
-	return p
+	return result
 }
 
-// write writes a message at once.
-func (c *callerConn) write(message []byte) { c.writeAt(pace{}, message) }
+// write writes a message in one piece.
+func (c *callerConn) write(message []byte) { c.writeChunked(chunking{}, message) }
 
-// writeAt writes a message at a pace.
-func (c *callerConn) writeAt(p pace, message []byte) {
+// writeChunked writes a message in chunks.
+func (c *callerConn) writeChunked(how chunking, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.conn.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
-	for i, length := range p.lengths {
+	for i, length := range how.lengths {
 		if _, err := c.conn.Write(message[:length]); err != nil {
 			return
 		}
 		message = message[length:]
-		time.Sleep(p.pauses[i])
+		time.Sleep(how.pauses[i])
 	}
 	_, _ = c.conn.Write(message)
 }
@@ -148,16 +148,16 @@
 	}
 }
 
-// established handles the final answer of a call that is established.
+// established handles the final answer that a call is established.
 func (k *callers) established(c *callerCall, m *jsonl.Message) {
 	k.mu.Lock()
 	wasOpen := k.calls[c.id] == c && !c.isEstablished
 	c.isEstablished = true
 	server, attempt, isGenuine := parseDescription(string(m.Blob), c.id)
 	c.server = server
-	hangsUp := k.rng.Float64() < hangUpShare
+	hangsUp := k.rng.Float64() < callerReleaseShare
 	hold := minHold + time.Duration(k.rng.ExpFloat64()*float64(k.run.story.Deployment.MeanHold)/2)
-	leaves := k.rng.Float64() < leavingShare && !k.isPersistent(c.conn)
+	closesConn := k.rng.Float64() < closeAfterAnswerShare && !k.isPersistent(c.conn)
 	k.mu.Unlock()
 	k.run.judge.record(invariant.Event{
 		Kind: invariant.CallEstablished, Controller: c.controller, Call: c.id, Server: server, Attempt: attempt,
@@ -167,17 +167,17 @@
 	}
 	if !isGenuine {
 		k.run.judge.violate(RuleAnswerGenuine, c.controller, c.id,
-			"established with %q, which no exchange sent for it", m.Blob)
+			"established with description %q, which no exchange sent for this call", m.Blob)
 	}
 	if hangsUp {
 		c.after(k, hold, func() { k.hangUp(c) })
 	}
-	if leaves {
+	if closesConn {
 		c.conn.close()
 	}
 }
 
-// isPersistent reports whether a connection is shared. callers.mu is held.
+// isPersistent reports whether a connection is one of the shared ones. callers.mu is held.
 func (k *callers) isPersistent(conn *callerConn) bool {
 	for _, other := range k.conns {
 		if other == conn {
@@ -215,7 +215,7 @@
 	}
 }
 
-// connectionLost handles the end of a connection, which may owe answers.
+// connectionLost handles the end of a connection, on which answers may still be due.
 func (k *callers) connectionLost(conn *callerConn) {
 	conn.mu.Lock()
 	byCaller := conn.closedByCaller
@@ -234,15 +234,15 @@
 	k.mu.Unlock()
 	for _, c := range open {
 		if byCaller {
-			k.leave(c)
+			k.abandon(c)
 		} else {
 			k.answerLost(c)
 		}
 	}
 }
 
-// answerLost handles a set-up whose connection the controller has closed without an answer. One that crossed the close
-// is sent once more.
+// answerLost handles a set-up whose connection the controller closed without an answer. A set-up that crossed the close
+// is resent once.
 func (k *callers) answerLost(c *callerCall) {
 	age := time.Since(c.sentAt)
 	if age < crossingTime+clockSlack && !c.wasResent {
@@ -254,7 +254,7 @@
 			conn.write(c.start())
 			return
 		}
-		if k.remove(c, false) { // nobody is there any more: the caller goes elsewhere
+		if k.remove(c, false) { // the controller has ended: the caller turns to another one
 			k.record(invariant.CallAbandoned, c, 0)
 		}
 		return
@@ -262,6 +262,6 @@
 	if k.remove(c, false) {
 		k.record(invariant.CallAbandoned, c, 0)
 		k.run.judge.violate(RuleAnswerLost, c.controller, c.id,
-			"the connection ended %v after the set-up, without an answer", age.Round(time.Millisecond))
+			"the connection ended without an answer %v after the set-up", age.Round(time.Millisecond))
 	}
 }
--- a/internal/sim/soak/callers.go
+++ b/internal/sim/soak/callers.go
@@ -19,24 +19,24 @@
 const (
 	// persistentConns is the number of connections that the callers of a controller share and keep open.
 	persistentConns = 3
-	// newConnectionTime is how long after SIGTERM callers still open connections.
+	// newConnectionTime is how long callers continue to open connections after SIGTERM.
 	newConnectionTime = 300 * time.Millisecond
-	// maxRedials bounds how often a rejected caller asks again at once.
+	// maxRedials bounds how often a rejected caller redials at once.
 	maxRedials = 2
-	// lostConnectionTime is how long the end of connections takes to be seen once their process has ended.
+	// lostConnectionTime is the time until callers have detected the end of their connections after the process ended.
 	lostConnectionTime = 60 * time.Millisecond
 )
 
-// Shares of the callers that behave in a way of their own.
+// Shares of the callers with a particular behavior.
 const (
-	newConnectionShare = 0.25 // open a connection for their call
-	leavingShare       = 0.5  // of these: close it once the call is established
-	hangUpShare        = 0.35 // release their call before the exchange does
-	confirmShare       = 0.9  // confirm a release
-	redialShare        = 0.5  // ask again at once when they are rejected
+	newConnectionShare    = 0.25 // use a new connection for their call
+	closeAfterAnswerShare = 0.5  // of these: close the connection once the call is established
+	callerReleaseShare    = 0.35 // release their call before the exchange does
+	confirmShare          = 0.9  // confirm a release
+	redialShare           = 0.5  // redial at once when they are rejected
 )
 
-// callers are the callers of one controller. Any of their connections may bring the release of any call.
+// callers are the callers of one controller. The release of a call may arrive on any of their connections.
 type callers struct {
 	run        *Run
 	controller *controller
@@ -44,30 +44,30 @@
 
 	mu            sync.Mutex
 	rng           *rand.Rand
-	conns         []*callerConn // the persistent ones; nil entries are dialled at the next use
+	conns         []*callerConn // the persistent ones; nil entries are dialed when they are needed
 	calls         map[string]*callerCall
-	isPaused      bool // no process serves
-	noNewConns    time.Time
-	noSetups      time.Time // zero: no shutdown
-	rateFactor    float64   // a crowd makes more calls
-	generation    int       // of the process; what an earlier one owed is not judged
-	setupsDelayed float64   // share of set-ups that are written slowly
-	earlyLeavers  float64   // share of callers that give up early
-	closesAtOnce  float64   // share of set-ups whose connection is closed right behind them
+	isPaused      bool // no process is serving
+	newConnsUntil time.Time
+	setupsUntil   time.Time // zero: no shutdown is under way
+	rateFactor    float64   // multiplies rate; above 1 during a load surge
+	generation    int       // of the process; answers due from an earlier process are not checked
+	slowWriters   float64   // share of set-ups that are written in chunks
+	earlyAbandons float64   // share of callers that abandon their call before the deadline
+	closesAtOnce  float64   // share of callers that close their connection right after the set-up
 }
 
-// A callerCall is a call that is open or established.
+// A callerCall is an open or established call as its caller sees it.
 type callerCall struct {
 	setup
 	id            string
 	left          time.Duration
-	pool          int // of first choice
+	pool          int // preferred pool
 	conn          *callerConn
 	sentAt        time.Time
 	redials       int
 	isEstablished bool
-	server        string // set with isEstablished: the exchange
-	wasResent     bool   // it crossed the close of its connection and was sent again
+	server        string // id of the exchange; set with isEstablished
+	wasResent     bool   // the set-up crossed the close of its connection and was resent
 	timers        []*time.Timer
 }
 
@@ -81,13 +81,13 @@
 		conns:         make([]*callerConn, persistentConns),
 		calls:         make(map[string]*callerCall),
 		rateFactor:    1,
-		setupsDelayed: story.Callers.SlowWriters,
-		earlyLeavers:  story.Callers.EarlyLeavers,
+		slowWriters:   story.Callers.SlowWriters,
+		earlyAbandons: story.Callers.EarlyLeavers,
 		closesAtOnce:  story.Callers.ClosesAtOnce,
 	}
 }
 
-// generate makes calls until the channel is closed.
+// generate makes calls at random intervals until the channel is closed.
 func (k *callers) generate(done <-chan struct{}) {
 	for {
 		k.mu.Lock()
@@ -102,62 +102,62 @@
 	}
 }
 
-// setCrowd makes the callers call so many times as often.
-func (k *callers) setCrowd(factor float64) {
+// setRateFactor multiplies the call rate by a factor; 1 restores it.
+func (k *callers) setRateFactor(factor float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.rateFactor = factor
 }
 
-// A callPlan is what chance decides of a call.
-type callPlan struct {
-	isOwnConn, isSlow, leaves, closesAtOnce bool
-	leaveAfter                              time.Duration
-	pace                                    pace
-	connIndex                               int
-	generation                              int // of the process
+// A callBehavior is the randomly selected behavior of a caller.
+type callBehavior struct {
+	usesNewConn, isSlow, abandons, closesAtOnce bool
+	abandonAfter                                time.Duration
+	chunking                                    chunking
+	connIndex                                   int
+	generation                                  int // of the process
 }
 
-// place makes a call. It is dropped if the callers may not call now.
+// place makes a call, unless the callers may not call now.
 func (k *callers) place(redials int) {
 	k.mu.Lock()
-	c, plan := k.draw(redials)
-	mayCall := k.mayCall(plan.isOwnConn)
-	plan.generation = k.generation
+	c, behavior := k.randomCall(redials)
+	mayCall := k.mayCall(behavior.usesNewConn)
+	behavior.generation = k.generation
 	k.mu.Unlock()
 	if !mayCall {
 		return
 	}
-	conn, err := k.connection(plan)
+	conn, err := k.connection(behavior)
 	if err != nil {
-		return // nobody has taken the call
+		return // no controller received the call
 	}
 	message := c.start()
-	if plan.isSlow {
+	if behavior.isSlow {
 		k.mu.Lock()
-		plan.pace = k.drawPace(len(message))
+		behavior.chunking = k.randomChunking(len(message))
 		k.mu.Unlock()
 	}
 	k.run.judge.register(c.id, c.setup)
-	if !k.open(c, conn, plan.generation) {
+	if !k.open(c, conn, behavior.generation) {
 		return
 	}
-	conn.writeAt(plan.pace, message)
-	if !conn.isOpen() { // it ended before the call was noted on it
+	conn.writeChunked(behavior.chunking, message)
+	if !conn.isOpen() { // it ended before the call was registered
 		k.connectionLost(conn)
 	}
-	if plan.closesAtOnce && plan.isOwnConn {
-		k.leave(c)
+	if behavior.closesAtOnce && behavior.usesNewConn {
+		k.abandon(c)
 		conn.close()
 		return
 	}
-	if plan.leaves {
-		c.after(k, plan.leaveAfter, func() { k.leave(c) })
+	if behavior.abandons {
+		c.after(k, behavior.abandonAfter, func() { k.abandon(c) })
 	}
 }
 
-// draw draws a call. callers.mu is held.
-func (k *callers) draw(redials int) (*callerCall, callPlan) {
+// randomCall returns a random call and the behavior of its caller. callers.mu is held.
+func (k *callers) randomCall(redials int) (*callerCall, callBehavior) {
 	d := &k.run.story.Deployment
 	rng := k.rng
 	class := d.Classes[rng.IntN(len(d.Classes))]
@@ -174,40 +174,40 @@
 		pool:    rng.IntN(d.Exchanges),
 		redials: redials,
 	}
-	plan := callPlan{
-		isOwnConn:    rng.Float64() < newConnectionShare,
-		isSlow:       rng.Float64() < k.setupsDelayed,
-		leaves:       rng.Float64() < k.earlyLeavers,
+	behavior := callBehavior{
+		usesNewConn:  rng.Float64() < newConnectionShare,
+		isSlow:       rng.Float64() < k.slowWriters,
+		abandons:     rng.Float64() < k.earlyAbandons,
 		closesAtOnce: rng.Float64() < k.closesAtOnce,
-		leaveAfter:   time.Duration(rng.Int64N(int64(left))),
+		abandonAfter: time.Duration(rng.Int64N(int64(left))),
 		connIndex:    rng.IntN(len(k.conns)),
 	}
-	return c, plan
+	return c, behavior
 }
 
 // mayCall reports whether a call may be made now. callers.mu is held.
-func (k *callers) mayCall(isOwnConn bool) bool {
+func (k *callers) mayCall(usesNewConn bool) bool {
 	now := time.Now()
-	isShuttingDown := !k.noSetups.IsZero()
+	isShuttingDown := !k.setupsUntil.IsZero()
 	switch {
 	case k.isPaused:
 		return false
-	case isShuttingDown && now.After(k.noSetups):
+	case isShuttingDown && now.After(k.setupsUntil):
 		return false
-	case isShuttingDown && isOwnConn && now.After(k.noNewConns):
+	case isShuttingDown && usesNewConn && now.After(k.newConnsUntil):
 		return false
 	}
 	return true
 }
 
 // connection returns the connection for a call.
-func (k *callers) connection(plan callPlan) (*callerConn, error) {
-	if plan.isOwnConn {
+func (k *callers) connection(behavior callBehavior) (*callerConn, error) {
+	if behavior.usesNewConn {
 		return k.dial()
 	}
 	k.mu.Lock()
-	conn := k.conns[plan.connIndex]
-	mayDial := k.noSetups.IsZero() || time.Now().Before(k.noNewConns)
+	conn := k.conns[behavior.connIndex]
+	mayDial := k.setupsUntil.IsZero() || time.Now().Before(k.newConnsUntil)
 	k.mu.Unlock()
 	if conn != nil && conn.isOpen() {
 		return conn, nil
@@ -221,15 +221,16 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if other := k.conns[plan.connIndex]; other != nil && other.isOpen() { // dialled at the same time
+	if other := k.conns[behavior.connIndex]; other != nil && other.isOpen() { // dialed concurrently
 		go conn.close()
 		return other, nil
 	}
-	k.conns[plan.connIndex] = conn
+	k.conns[behavior.connIndex] = conn
 	return conn, nil
 }
 
-// open notes that a call is asked for on a connection; false: the process that was to take it has ended.
+// open registers a call before its set-up is sent on a connection. It reports false if the process at the other end has
+// ended.
 func (k *callers) open(c *callerCall, conn *callerConn, generation int) bool {
 	k.mu.Lock()
 	if generation != k.generation {
@@ -241,8 +242,8 @@
 	k.calls[c.id] = c
 	k.record(invariant.CallOffered, c, c.left)
 	k.mu.Unlock()
-	// The answer may be on its way when the caller's time is over: the rules' tolerance is the caller's too.
-	c.after(k, c.left+clockSlack, func() { k.giveUp(c) })
+	// The answer may be in transit at the deadline, so the caller waits for as long as the rules tolerate.
+	c.after(k, c.left+clockSlack, func() { k.timeOut(c) })
 	return true
 }
 
@@ -250,14 +251,14 @@
 	k.run.judge.record(invariant.Event{Kind: kind, Controller: c.controller, Call: c.id, Deadline: deadline})
 }
 
-// after runs f for a call after a while, unless the call is over.
+// after runs f after a delay, unless the call ends before.
 func (c *callerCall) after(k *callers, wait time.Duration, f func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.timers = append(c.timers, time.AfterFunc(wait, f))
 }
 
-// start returns the message that asks for the call.
+// start returns the set-up message of the call.
 func (c *callerCall) start() []byte {
 	return jsonl.Append(nil, &jsonl.Message{
 		Verb: jsonl.Start,
@@ -272,7 +273,7 @@
 	})
 }
 
-// remove forgets a call in a state, and stops its timers. It reports false if the call is in another state.
+// remove deletes an established or an open call and stops its timers. It reports false if the call is not in that state.
 func (k *callers) remove(c *callerCall, established bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -286,22 +287,22 @@
 	return true
 }
 
-// giveUp ends a call that was not answered in time. The checker reports that by itself.
-func (k *callers) giveUp(c *callerCall) {
+// timeOut ends a call that was not answered in time, which the checker reports.
+func (k *callers) timeOut(c *callerCall) {
 	if k.remove(c, false) {
 		c.conn.write(finish(c.id))
 	}
 }
 
-// leave ends an open call before its time.
-func (k *callers) leave(c *callerCall) {
+// abandon ends an open call before its deadline.
+func (k *callers) abandon(c *callerCall) {
 	if k.remove(c, false) {
 		k.record(invariant.CallAbandoned, c, 0)
 		c.conn.write(finish(c.id))
 	}
 }
 
-// hangUp releases an established call, on any connection.
+// hangUp releases an established call on its own connection, or on another one if that has ended.
 func (k *callers) hangUp(c *callerCall) {
 	if !k.remove(c, true) {
 		return
@@ -317,28 +318,28 @@
 	conn.write(finish(c.id))
 }
 
-// finish returns the message that gives a call up or releases it.
+// finish returns the message that abandons or releases a call.
 func finish(id string) []byte {
 	return jsonl.Append(nil, &jsonl.Message{
 		Verb: jsonl.Finish, Tag: id, ResultCode: causeNormalClearing, HasResultCode: true,
 	})
 }
 
-// beginShutdown notes that the process was asked to end: new connections come for a while, and set-ups on open ones
-// until a time.
+// beginShutdown records that the process was asked to end. Callers still open connections for newConnectionTime, and
+// send set-ups on open connections for the given time.
 func (k *callers) beginShutdown(setups time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.noNewConns = now.Add(newConnectionTime)
-	k.noSetups = now.Add(setups)
+	k.newConnsUntil = now.Add(newConnectionTime)
+	k.setupsUntil = now.Add(setups)
 }
 
-// awaitConnectionsLost waits until the end of the connections of a process that has ended is seen.
+// awaitConnectionsLost waits until callers have detected the end of the connections of an ended process.
 func (k *callers) awaitConnectionsLost() { time.Sleep(lostConnectionTime) }
 
-// forget drops all calls: their process has ended.
-func (k *callers) forget() {
+// disconnect drops all calls and connections, because their process has ended.
+func (k *callers) disconnect() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.isPaused = true
@@ -351,16 +352,16 @@
 	}
 	for i, conn := range k.conns {
 		if conn != nil {
-			go conn.close() // a slow writer may hold the connection
+			go conn.close() // not here, because a slow writer may hold the connection's mutex
 		}
 		k.conns[i] = nil
 	}
 }
 
-// resume lets the callers call again.
+// resume allows calls again after disconnect or beginShutdown.
 func (k *callers) resume() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.isPaused = false
-	k.noSetups = time.Time{}
+	k.setupsUntil = time.Time{}
 }
--- a/internal/sim/soak/controller.go
+++ b/internal/sim/soak/controller.go
@@ -21,18 +21,18 @@
 const (
 	// startTimeout is how long a process may take until it serves.
 	startTimeout = 10 * time.Second
-	// maxShutdownDeadline bounds the deadline from which the earliest SIGKILL after a SIGTERM follows.
+	// maxShutdownDeadline bounds the call deadline by which the earliest time of SIGKILL after SIGTERM is computed.
 	maxShutdownDeadline = 3 * time.Second
-	// killDelay is how long after that deadline SIGKILL may come.
+	// killDelay is the time from that deadline until SIGKILL.
 	killDelay = 700 * time.Millisecond
-	// lastSetupMargin is how long before SIGKILL callers send their last set-ups.
+	// lastSetupMargin is how long before SIGKILL callers stop sending set-ups.
 	lastSetupMargin = 150 * time.Millisecond
 	pollInterval    = 10 * time.Millisecond
 	zoneName        = "east"
 	maxLogTail      = 2000
 )
 
-// A controller is a call controller's process, with its name service and its callers.
+// A controller is the process of a call controller, with its name service and its callers.
 type controller struct {
 	run     *Run
 	name    string
@@ -41,34 +41,34 @@
 	dir     string
 	callers *callers
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	exited  chan struct{} // closed when the process has ended
-	isBusy  bool          // a fault is ending or reloading the process
+	mu         sync.Mutex
+	process    *exec.Cmd
+	exited     chan struct{} // closed when the process has ended
+	isReserved bool          // a fault that ends or reloads the process is under way
 }
 
-// begin reserves the controller for a fault that concerns its process; false: another one is under way.
-func (c *controller) begin() bool {
+// reserve reserves the controller for a fault in its process. It reports false if another one is under way.
+func (c *controller) reserve() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isBusy {
+	if c.isReserved {
 		return false
 	}
-	c.isBusy = true
+	c.isReserved = true
 	return true
 }
 
-// finish ends the fault.
-func (c *controller) finish() {
+// unreserve ends the reservation.
+func (c *controller) unreserve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isBusy = false
+	c.isReserved = false
 }
 
 func (c *controller) configPath() string { return filepath.Join(c.dir, c.name+".json") }
 func (c *controller) logPath() string    { return filepath.Join(c.dir, c.name+".log") }
 
-// writeConfig writes the configuration with the list as of now and a new name service.
+// writeConfig writes the configuration with the current list of exchanges and the address of a new name service.
 func (c *controller) writeConfig() error {
 	address, err := c.run.directory.serve(c.name)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// start starts the process and waits until it serves.
+// start starts the process and waits until it accepts connections.
 func (c *controller) start() error {
 	if err := c.writeConfig(); err != nil {
 		return err
@@ -154,13 +154,13 @@
 			return conn.Close()
 		}
 		if time.Since(start) > startTimeout {
-			return fmt.Errorf("%s does not serve after %v: %w; log: %s", c.name, startTimeout, err, c.logTail())
+			return fmt.Errorf("%s accepts no connection after %v: %w; log: %s", c.name, startTimeout, err, c.logTail())
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// signal sends signals in order.
+// signal sends signals to the process, in order.
 func (c *controller) signal(signals ...os.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,17 +181,17 @@
 	}
 }
 
-// checkRunning reports a process that ended by itself.
+// checkRunning reports a process that ended although no fault ended it.
 func (c *controller) checkRunning() {
-	if c.begin() {
-		defer c.finish()
+	if c.reserve() {
+		defer c.unreserve()
 		if c.hasExited() {
-			c.run.judge.violate(RuleNoCrash, c.name, "", "%s ended by itself: %s", c.name, c.logTail())
+			c.run.judge.violate(RuleNoCrash, c.name, "", "%s ended unexpectedly: %s", c.name, c.logTail())
 		}
 	}
 }
 
-// logTail returns the end of the process's log.
+// logTail returns the last part of the process's log.
 func (c *controller) logTail() string {
 	text, _ := os.ReadFile(c.logPath())
 	return string(text[max(len(text)-maxLogTail, 0):])
@@ -202,8 +202,8 @@
 	return min(c.run.story.Deployment.Deadline.D(), maxShutdownDeadline) + killDelay
 }
 
-// terminate sends SIGTERM behind other signals, and SIGKILL at the earliest time. Callers go on with the connections
-// that are open. It returns when the process has ended.
+// terminate sends other signals and then SIGTERM, and SIGKILL at the earliest time. Callers continue to use open
+// connections meanwhile. It returns when the process has ended.
 func (c *controller) terminate(before ...os.Signal) {
 	start := time.Now()
 	c.callers.beginShutdown(c.shutdownTime() - lastSetupMargin)
@@ -211,7 +211,7 @@
 	select {
 	case <-c.exited:
 		if code := c.process.ProcessState.ExitCode(); code != 0 {
-			c.run.judge.violate(RuleStops, c.name, "", "%s ended with code %d after SIGTERM: %s",
+			c.run.judge.violate(RuleStops, c.name, "", "%s exited with code %d after SIGTERM: %s",
 				c.name, code, c.logTail())
 		}
 	case <-time.After(c.shutdownTime()):
@@ -220,20 +220,20 @@
 	}
 	c.run.logf("%s ended %v after SIGTERM", c.name, time.Since(start).Round(time.Millisecond))
 	c.callers.awaitConnectionsLost()
-	c.callers.forget()
+	c.callers.disconnect()
 	c.run.judge.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 }
 
-// kill sends SIGKILL.
+// kill sends SIGKILL and waits until the process has ended.
 func (c *controller) kill() {
-	c.callers.forget()
+	c.callers.disconnect()
 	c.signal(syscall.SIGKILL)
 	<-c.exited
-	c.callers.forget()
+	c.callers.disconnect()
 	c.run.judge.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 }
 
-// restart starts the process again, after which its callers go on.
+// restart starts the process again, and lets its callers continue.
 func (c *controller) restart() {
 	if err := c.start(); err != nil {
 		c.run.judge.violate(RuleStarts, c.name, "", "%v", err)
@@ -242,7 +242,7 @@
 	c.callers.resume()
 }
 
-// reload has discovery move so many times, each with a new configuration and SIGHUP.
+// reload moves discovery to a new address several times, each with a new configuration and SIGHUP.
 func (c *controller) reload(count int, interval time.Duration) {
 	for range count {
 		if err := c.writeReloadConfig(); err != nil {
@@ -254,7 +254,7 @@
 	}
 }
 
-// writeReloadConfig writes a configuration that differs in the address of discovery.
+// writeReloadConfig writes a configuration that differs in the address of discovery only.
 func (c *controller) writeReloadConfig() error {
 	text, err := os.ReadFile(c.configPath())
 	if err != nil {
@@ -273,7 +273,7 @@
 	return os.WriteFile(c.configPath(), text, 0o600)
 }
 
-// checkLimits compares the process's memory and descriptors with its configuration.
+// checkLimits compares the memory and the descriptors of the process with the configured limits.
 func (c *controller) checkLimits() {
 	c.mu.Lock()
 	pid := c.process.Process.Pid
@@ -281,7 +281,7 @@
 	d := &c.run.story.Deployment
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return // it has ended: checkRunning reports that
+		return // the process has ended, which checkRunning reports
 	}
 	for line := range strings.Lines(string(status)) {
 		fields := strings.Fields(line)
@@ -289,13 +289,13 @@
 			continue
 		}
 		if peak, err := strconv.Atoi(fields[1]); err == nil && peak > d.MemoryMB<<10 {
-			c.run.judge.violate(RuleWithinLimits, c.name, "", "%s took %d kB, %d MB are permitted",
+			c.run.judge.violate(RuleWithinLimits, c.name, "", "%s used %d kB of memory, the limit is %d MB",
 				c.name, peak, d.MemoryMB)
 		}
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err == nil && len(descriptors) > d.Sockets {
-		c.run.judge.violate(RuleWithinLimits, c.name, "", "%s holds %d descriptors, %d are permitted", c.name,
+		c.run.judge.violate(RuleWithinLimits, c.name, "", "%s has %d open descriptors, the limit is %d", c.name,
 			len(descriptors), d.Sockets)
 	}
 }
--- a/internal/sim/soak/discovery.go
+++ b/internal/sim/soak/discovery.go
@@ -10,11 +10,11 @@
 	"olivedale/internal/sim/loopback"
 )
 
-// toldLimit is when a change counts as told although no answer has brought it.
-const toldLimit = 7 * time.Second
+// assumedDeliveryTime is the time after which a controller is assumed to know a list that no answer has delivered.
+const assumedDeliveryTime = 7 * time.Second
 
-// A directory publishes the list of exchanges to the controllers, each at a name service of its own, and tells the
-// judge when a controller knows that an exchange takes no new calls. Its methods are safe for concurrent use.
+// A directory publishes the list of exchanges to the controllers, to each by a name service of its own. It records when
+// a controller knows that an exchange accepts no new calls. Its methods are safe for concurrent use.
 type directory struct {
 	judge *judge
 
@@ -22,10 +22,10 @@
 	exchanges map[string]*exchange
 	draining  map[string]bool
 	serial    uint32
-	published map[uint32]map[string]bool // by serial number: exchanges that take calls
+	published map[uint32]map[string]bool // by serial number: whether an exchange accepts calls
 	services  map[string]*loopback.NameService
 	isSilent  map[string]bool   // by controller
-	told      map[string]uint32 // by controller: the newest list that it was told
+	delivered map[string]uint32 // by controller: serial number of the latest list that it knows
 	inactive  map[string]map[string]bool
 }
 
@@ -37,12 +37,12 @@
 		published: make(map[uint32]map[string]bool),
 		services:  make(map[string]*loopback.NameService),
 		isSilent:  make(map[string]bool),
-		told:      make(map[string]uint32),
+		delivered: make(map[string]uint32),
 		inactive:  make(map[string]map[string]bool),
 	}
 }
 
-// serve gives a controller a new name service, whose address it returns, in place of the one that it had.
+// serve starts a new name service for a controller, in place of its previous one, and returns the address.
 func (d *directory) serve(controller string) (address string, err error) {
 	service, err := loopback.ListenNameService("127.0.0.1:0")
 	if err != nil {
@@ -55,12 +55,12 @@
 	}
 	d.services[controller] = service
 	service.SetSilent(d.isSilent[controller])
-	service.OnAnswer(func(serial uint32) { d.tell(controller, serial) })
+	service.OnAnswer(func(serial uint32) { d.recordDelivery(controller, serial) })
 	service.SetFrom(d.serial, d.endpoints(controller)...)
 	return service.Addr(), nil
 }
 
-// setSilent makes the services of all controllers silent, or answer again.
+// setSilent makes the name services of all controllers ignore queries, or answer again.
 func (d *directory) setSilent(isSilent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,28 +70,28 @@
 	}
 }
 
-// add lists an exchange from the next publication on.
+// add adds an exchange to the list, from the next publication on.
 func (d *directory) add(x *exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.exchanges[x.id] = x
 }
 
-// drain lists an exchange as draining from the next publication on.
+// drain marks an exchange as draining, from the next publication on.
 func (d *directory) drain(x *exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining[x.id] = true
 }
 
-// remove takes an exchange off the list from the next publication on.
+// remove removes an exchange from the list, from the next publication on.
 func (d *directory) remove(x *exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.exchanges, x.id)
 }
 
-// publish publishes the list as it is.
+// publish publishes the current list.
 func (d *directory) publish() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,11 +104,11 @@
 	d.published[serial] = active
 	for controller, service := range d.services {
 		service.SetFrom(serial, d.endpoints(controller)...)
-		time.AfterFunc(toldLimit, func() { d.tell(controller, serial) })
+		time.AfterFunc(assumedDeliveryTime, func() { d.recordDelivery(controller, serial) })
 	}
 }
 
-// endpoints returns the list as a controller gets it, in the order of the ids. directory.mu is held.
+// endpoints returns the list for a controller, sorted by id. directory.mu is held.
 func (d *directory) endpoints(controller string) []loopback.Endpoint {
 	var all []loopback.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(d.exchanges)) {
@@ -121,24 +121,24 @@
 	return all
 }
 
-// known returns the list and its serial number for a controller that starts.
+// known returns the list and its serial number for a controller that is about to start.
 func (d *directory) known(controller string) (serial uint32, all []loopback.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told[controller] = 0
+	d.delivered[controller] = 0
 	d.inactive[controller] = make(map[string]bool)
 	return d.serial, d.endpoints(controller)
 }
 
-// tell notes that a controller counts as told of a list.
-func (d *directory) tell(controller string, serial uint32) {
+// recordDelivery records that a controller knows a list, and which exchanges became inactive or active by it.
+func (d *directory) recordDelivery(controller string, serial uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	active, isPublished := d.published[serial]
-	if serial <= d.told[controller] || !isPublished || d.inactive[controller] == nil {
+	if serial <= d.delivered[controller] || !isPublished || d.inactive[controller] == nil {
 		return
 	}
-	d.told[controller] = serial
+	d.delivered[controller] = serial
 	inactive := d.inactive[controller]
 	for _, list := range d.published {
 		for id := range list {
@@ -153,7 +153,7 @@
 	}
 }
 
-// close ends the services.
+// close stops the name services.
 func (d *directory) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sim/soak/doc.go
+++ b/internal/sim/soak/doc.go
@@ -1,11 +1,11 @@
-// Package soak plays short, dense trials: a few call controllers as real processes on loopback, with emulated
-// exchanges, discovery services and callers in the process of the trial, and a story of faults that cross on purpose.
-// A story is drawn from a seed or written by a test; the same seed always draws the same story, but real processes do
-// not repeat themselves exactly.
+// Package soak runs short soak tests under faults: a few call controllers run as real processes on loopback, with
+// emulated exchanges, discovery services and callers in the process of the test, and a plan of faults that overlap on
+// purpose. A plan is generated from a seed or written by a test. The same seed always yields the same plan, but the
+// timing of real processes is not exactly reproducible.
 //
-// Exchanges are observed at their own end and callers at theirs, and internal/sim/invariant judges what both saw. The
-// package shares no code with the controller but the codecs, and never judges by what the controller logs.
+// The events that exchanges and callers observe at their own ends are checked by internal/sim/invariant. The package
+// shares no code with the controller except for the codecs, and no check depends on the controller's log.
 //
-// A machine that cannot be reached is emulated as the platform describes it: its open connections stay open and
-// silent, and new ones never come up (see listener).
+// A host that cannot be reached is emulated as the platform describes it: its open connections stay open and carry
+// nothing, and new ones are never established (see listener).
 package soak
--- a/internal/sim/soak/inject.go
+++ b/internal/sim/soak/inject.go
@@ -28,11 +28,11 @@
 		r.directory.setSilent(false)
 	case FaultCrowd:
 		for _, c := range r.controllers {
-			c.callers.setCrowd(crowdFactor)
+			c.callers.setRateFactor(crowdFactor)
 		}
 		time.Sleep(duration)
 		for _, c := range r.controllers {
-			c.callers.setCrowd(1)
+			c.callers.setRateFactor(1)
 		}
 	case FaultReload, FaultTerminate, FaultTerminateInReload, FaultKill:
 		r.injectControllerFault(f)
@@ -44,10 +44,10 @@
 // injectControllerFault injects a fault into a controller, unless another one is under way there.
 func (r *Run) injectControllerFault(f Fault) {
 	c := r.controllers[f.Target]
-	if !c.begin() {
+	if !c.reserve() {
 		return
 	}
-	defer c.finish()
+	defer c.unreserve()
 	if c.hasExited() {
 		return // checkRunning reports it at the end
 	}
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -177,7 +177,7 @@
 	for _, c := range r.controllers {
 		playing.Go(func() { c.callers.generate(r.done) })
 		if r.story.Callers.AreBad {
-			playing.Go(func() { c.callers.sendBadInput(r.done, r.story.Seed) })
+			playing.Go(func() { c.callers.runBadClients(r.done, r.story.Seed) })
 		}
 	}
 	for _, f := range r.story.Faults {
@@ -239,7 +239,7 @@
 		case <-time.After(stopTimeout):
 			r.logf("%s does not end", c.name)
 		}
-		c.callers.forget()
+		c.callers.disconnect()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
