--- a/internal/sim/soak/caller_conn.go
+++ b/internal/sim/soak/caller_conn.go
@@ -156,17 +156,17 @@
 	server, attempt, isGenuine := parseDescription(string(m.Blob), c.id)
 	c.server = server
 	hangsUp := k.rng.Float64() < callerReleaseShare
-	hold := minHold + time.Duration(k.rng.ExpFloat64()*float64(k.run.story.Deployment.MeanHold)/2)
+	hold := minHold + time.Duration(k.rng.ExpFloat64()*float64(k.run.plan.Deployment.MeanHold)/2)
 	closesConn := k.rng.Float64() < closeAfterAnswerShare && !k.isPersistent(c.conn)
 	k.mu.Unlock()
-	k.run.judge.record(invariant.Event{
+	k.run.monitor.record(invariant.Event{
 		Kind: invariant.CallEstablished, Controller: c.controller, Call: c.id, Server: server, Attempt: attempt,
 	})
 	if !wasOpen {
 		return
 	}
 	if !isGenuine {
-		k.run.judge.violate(RuleAnswerGenuine, c.controller, c.id,
+		k.run.monitor.reportViolation(RuleAnswerGenuine, c.controller, c.id,
 			"established with description %q, which no exchange sent for this call", m.Blob)
 	}
 	if hangsUp {
@@ -201,8 +201,8 @@
 	}
 	if k.remove(c, true) {
 		k.record(invariant.CallerNotified, c, 0)
-		if k.run.standsAtExchange(c.id, c.server) {
-			k.run.judge.recordCut()
+		if k.run.isEstablishedAt(c.id, c.server) {
+			k.run.monitor.countCut()
 		}
 		return
 	}
@@ -261,7 +261,7 @@
 	}
 	if k.remove(c, false) {
 		k.record(invariant.CallAbandoned, c, 0)
-		k.run.judge.violate(RuleAnswerLost, c.controller, c.id,
+		k.run.monitor.reportViolation(RuleAnswerLost, c.controller, c.id,
 			"the connection ended without an answer %v after the set-up", age.Round(time.Millisecond))
 	}
 }
--- a/internal/sim/soak/callers.go
+++ b/internal/sim/soak/callers.go
@@ -72,18 +72,18 @@
 }
 
 func newCallers(run *Run, c *controller, seed uint64) *callers {
-	story := run.story
+	plan := run.plan
 	return &callers{
 		run:           run,
 		controller:    c,
-		rate:          story.Deployment.Rate,
+		rate:          plan.Deployment.Rate,
 		rng:           rand.New(rand.NewPCG(seed, uint64(c.number))),
 		conns:         make([]*callerConn, persistentConns),
 		calls:         make(map[string]*callerCall),
 		rateFactor:    1,
-		slowWriters:   story.Callers.SlowWriters,
-		earlyAbandons: story.Callers.EarlyLeavers,
-		closesAtOnce:  story.Callers.ClosesAtOnce,
+		slowWriters:   plan.Callers.SlowWriters,
+		earlyAbandons: plan.Callers.EarlyLeavers,
+		closesAtOnce:  plan.Callers.ClosesAtOnce,
 	}
 }
 
@@ -138,7 +138,7 @@
 		behavior.chunking = k.randomChunking(len(message))
 		k.mu.Unlock()
 	}
-	k.run.judge.register(c.id, c.setup)
+	k.run.monitor.register(c.id, c.setup)
 	if !k.open(c, conn, behavior.generation) {
 		return
 	}
@@ -158,7 +158,7 @@
 
 // randomCall returns a random call and the behavior of its caller. callers.mu is held.
 func (k *callers) randomCall(redials int) (*callerCall, callBehavior) {
-	d := &k.run.story.Deployment
+	d := &k.run.plan.Deployment
 	rng := k.rng
 	class := d.Classes[rng.IntN(len(d.Classes))]
 	number := fmt.Sprint("5", 100_000+rng.IntN(900_000))
@@ -248,7 +248,7 @@
 }
 
 func (k *callers) record(kind invariant.Kind, c *callerCall, deadline time.Duration) {
-	k.run.judge.record(invariant.Event{Kind: kind, Controller: c.controller, Call: c.id, Deadline: deadline})
+	k.run.monitor.record(invariant.Event{Kind: kind, Controller: c.controller, Call: c.id, Deadline: deadline})
 }
 
 // after runs f after a delay, unless the call ends before.
--- a/internal/sim/soak/controller.go
+++ b/internal/sim/soak/controller.go
@@ -75,11 +75,11 @@
 		return err
 	}
 	serial, endpoints := c.run.directory.known(c.name)
-	d := &c.run.story.Deployment
+	d := &c.run.plan.Deployment
 	text, err := json.Marshal(map[string]any{
 		"name":     c.name,
 		"listen":   c.listen,
-		"seed":     strconv.FormatUint(c.run.story.Seed+uint64(c.number), 16),
+		"seed":     strconv.FormatUint(c.run.plan.Seed+uint64(c.number), 16),
 		"names":    address,
 		"limits":   map[string]any{"memory_mb": d.MemoryMB, "sockets": d.Sockets},
 		"known":    knownEndpoints(serial, endpoints),
@@ -186,7 +186,7 @@
 	if c.reserve() {
 		defer c.unreserve()
 		if c.hasExited() {
-			c.run.judge.violate(RuleNoCrash, c.name, "", "%s ended unexpectedly: %s", c.name, c.logTail())
+			c.run.monitor.reportViolation(RuleNoCrash, c.name, "", "%s ended unexpectedly: %s", c.name, c.logTail())
 		}
 	}
 }
@@ -199,7 +199,7 @@
 
 // shutdownTime is how long after SIGTERM the earliest SIGKILL follows.
 func (c *controller) shutdownTime() time.Duration {
-	return min(c.run.story.Deployment.Deadline.D(), maxShutdownDeadline) + killDelay
+	return min(c.run.plan.Deployment.Deadline.D(), maxShutdownDeadline) + killDelay
 }
 
 // terminate sends other signals and then SIGTERM, and SIGKILL at the earliest time. Callers continue to use open
@@ -211,7 +211,7 @@
 	select {
 	case <-c.exited:
 		if code := c.process.ProcessState.ExitCode(); code != 0 {
-			c.run.judge.violate(RuleStops, c.name, "", "%s exited with code %d after SIGTERM: %s",
+			c.run.monitor.reportViolation(RuleStops, c.name, "", "%s exited with code %d after SIGTERM: %s",
 				c.name, code, c.logTail())
 		}
 	case <-time.After(c.shutdownTime()):
@@ -221,7 +221,7 @@
 	c.run.logf("%s ended %v after SIGTERM", c.name, time.Since(start).Round(time.Millisecond))
 	c.callers.awaitConnectionsLost()
 	c.callers.disconnect()
-	c.run.judge.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
+	c.run.monitor.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 }
 
 // kill sends SIGKILL and waits until the process has ended.
@@ -230,13 +230,13 @@
 	c.signal(syscall.SIGKILL)
 	<-c.exited
 	c.callers.disconnect()
-	c.run.judge.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
+	c.run.monitor.record(invariant.Event{Kind: invariant.ControllerEnded, Controller: c.name})
 }
 
 // restart starts the process again, and lets its callers continue.
 func (c *controller) restart() {
 	if err := c.start(); err != nil {
-		c.run.judge.violate(RuleStarts, c.name, "", "%v", err)
+		c.run.monitor.reportViolation(RuleStarts, c.name, "", "%v", err)
 		return
 	}
 	c.callers.resume()
@@ -278,7 +278,7 @@
 	c.mu.Lock()
 	pid := c.process.Process.Pid
 	c.mu.Unlock()
-	d := &c.run.story.Deployment
+	d := &c.run.plan.Deployment
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return // the process has ended, which checkRunning reports
@@ -289,13 +289,13 @@
 			continue
 		}
 		if peak, err := strconv.Atoi(fields[1]); err == nil && peak > d.MemoryMB<<10 {
-			c.run.judge.violate(RuleWithinLimits, c.name, "", "%s used %d kB of memory, the limit is %d MB",
+			c.run.monitor.reportViolation(RuleWithinLimits, c.name, "", "%s used %d kB of memory, the limit is %d MB",
 				c.name, peak, d.MemoryMB)
 		}
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err == nil && len(descriptors) > d.Sockets {
-		c.run.judge.violate(RuleWithinLimits, c.name, "", "%s has %d open descriptors, the limit is %d", c.name,
+		c.run.monitor.reportViolation(RuleWithinLimits, c.name, "", "%s has %d open descriptors, the limit is %d", c.name,
 			len(descriptors), d.Sockets)
 	}
 }
--- a/internal/sim/soak/discovery.go
+++ b/internal/sim/soak/discovery.go
@@ -16,7 +16,7 @@
 // A directory publishes the list of exchanges to the controllers, to each by a name service of its own. It records when
 // a controller knows that an exchange accepts no new calls. Its methods are safe for concurrent use.
 type directory struct {
-	judge *judge
+	monitor *monitor
 
 	mu        sync.Mutex
 	exchanges map[string]*exchange
@@ -29,9 +29,9 @@
 	inactive  map[string]map[string]bool
 }
 
-func newDirectory(j *judge) *directory {
+func newDirectory(m *monitor) *directory {
 	return &directory{
-		judge:     j,
+		monitor:   m,
 		exchanges: make(map[string]*exchange),
 		draining:  make(map[string]bool),
 		published: make(map[uint32]map[string]bool),
@@ -146,7 +146,7 @@
 				continue
 			}
 			inactive[id] = !active[id]
-			d.judge.record(invariant.Event{
+			d.monitor.record(invariant.Event{
 				Kind: invariant.ServerUpdated, Controller: controller, Server: id, IsSet: !active[id],
 			})
 		}
--- a/internal/sim/soak/exchange.go
+++ b/internal/sim/soak/exchange.go
@@ -12,15 +12,15 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// An exchangeState says whether an exchange runs and can be reached.
+// An exchangeState says whether the process of an exchange runs and whether controllers can reach it.
 type exchangeState int
 
 const (
 	exchangeRunning     exchangeState = iota
-	exchangePartitioned               // runs; nothing passes between it and the controllers, no connection comes up
-	exchangeHung                      // its process is stopped; connections still come up
-	exchangeVanished                  // gone without a word: its calls are over, no connection comes up
-	exchangeCrashed                   // its process died: its connections are reset, new ones are refused
+	exchangePartitioned               // runs, but no data passes between it and the controllers; no connection is established
+	exchangeHung                      // its process is stopped; connections are still established
+	exchangeVanished                  // gone without closing connections: its calls have ended, no connection is established
+	exchangeCrashed                   // its process ended: its connections are reset, new ones are refused
 )
 
 // String returns the state's name.
@@ -28,10 +28,10 @@
 	return [...]string{"running", "partitioned", "hung", "vanished", "crashed"}[s]
 }
 
-// passesMessages reports whether an exchange in the state reads and writes.
-func (s exchangeState) passesMessages() bool { return s == exchangeRunning }
+// carriesTraffic reports whether an exchange in the state reads and writes.
+func (s exchangeState) carriesTraffic() bool { return s == exchangeRunning }
 
-// Bounds of the time that an exchange takes to answer an INVITE.
+// Limits of the time until an exchange answers an INVITE.
 const (
 	minAnswerDelay = 2 * time.Millisecond
 	maxAnswerDelay = 40 * time.Millisecond
@@ -42,36 +42,36 @@
 	busyShare = 0.005
 	// minHold is the shortest duration of a call.
 	minHold = 300 * time.Millisecond
-	// releaseTime is how long a controller has to notify a caller of a release by the exchange.
-	releaseTime = time.Second
-	// lossTime is how long it has where no release could be sent.
-	lossTime = 8 * time.Second
+	// releaseNotifyLimit is the time in which a controller must notify a caller of a release that the exchange has sent.
+	releaseNotifyLimit = time.Second
+	// lossNotifyLimit is the time in which it must do so if no release could be sent.
+	lossNotifyLimit = 8 * time.Second
 )
 
-// An exchange serves SIP over TCP on a loopback address and knows which calls stand there. Its methods are safe for
+// An exchange serves SIP over TCP on loopback addresses and keeps its established calls. Its methods are safe for
 // concurrent use.
 type exchange struct {
 	id       string
 	pool     int
-	judge    *judge
+	monitor  *monitor
 	trace    *messageTrace // nil: none
 	meanHold time.Duration
 
-	stateMu sync.Mutex // held through a change of the state, which takes a while; before mu
+	stateMu sync.Mutex // held during a change of the state, which takes time; locked before mu
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	listeners map[string]*listener // by controller: each reaches the exchange at an address of its own
+	listeners map[string]*listener // by controller: each has its own address of the exchange
 	state     exchangeState
-	// spoiltShare is the share of answers that arrive spoilt.
-	spoiltShare float64
-	changed     chan struct{} // closed when the state changes
-	done        chan struct{} // closed when the run is over
-	started     time.Time     // of the process; zero: before the run
-	resumedAt   time.Time     // when the process was last continued after it was stopped
-	conns       []*exchangeConn
-	calls       map[string]*exchangeCall
-	unheard     []*exchangeCall // released calls whose release no controller has confirmed
+	// malformedShare is the share of answers that are malformed.
+	malformedShare float64
+	changed        chan struct{} // closed when the state changes
+	done           chan struct{} // closed when the run ends
+	started        time.Time     // start of the process; zero: before the run
+	resumedAt      time.Time     // when the process last continued after it was stopped
+	conns          []*exchangeConn
+	calls          map[string]*exchangeCall
+	unconfirmed    []*exchangeCall // ended calls whose release the controller has not confirmed
 }
 
 // An exchangeCall is a call at an exchange, from its INVITE on.
@@ -82,13 +82,13 @@
 	attempt       int
 	conn          *exchangeConn
 	isEstablished bool
-	// isLate is set for an attempt that arrived before the final answer of its call and is handled behind it, as by a
-	// process that was stopped: its cancel is on its way.
-	isLate bool
-	timer  *time.Timer // of the answer, then of the end
+	// isOutdated is set for an attempt that arrived before the final answer of its call but is handled after it, for
+	// instance by a process that was stopped. Its cancel is on the way.
+	isOutdated bool
+	timer      *time.Timer // for the answer, then for the end of the call
 }
 
-// exchangeOptions say how an exchange behaves.
+// exchangeOptions configure an exchange.
 type exchangeOptions struct {
 	id          string
 	pool        int
@@ -98,12 +98,12 @@
 	trace       *messageTrace // nil: none
 }
 
-// startExchange starts an exchange.
-func startExchange(o exchangeOptions, j *judge) (*exchange, error) {
+// startExchange starts an exchange that listens at one address for each controller.
+func startExchange(o exchangeOptions, mon *monitor) (*exchange, error) {
 	x := &exchange{
 		id:        o.id,
 		pool:      o.pool,
-		judge:     j,
+		monitor:   mon,
 		trace:     o.trace,
 		meanHold:  o.meanHold,
 		rng:       rand.New(rand.NewPCG(o.seed, uint64(o.pool))),
@@ -132,42 +132,43 @@
 	return nil
 }
 
-// address returns where a controller reaches the exchange.
+// address returns the address of the exchange for a controller.
 func (x *exchange) address(controller string) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.listeners[controller].address()
 }
 
-// startTime returns when the exchange's process started, as discovery lists it; zero: before the run.
+// startTime returns the start time of the exchange's process, as discovery lists it; zero: before the run.
 func (x *exchange) startTime() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.started
 }
 
-// setState changes the state. A crashed or vanished exchange runs again as a new process that knows no call.
+// setState changes the state. A crashed or vanished exchange runs again as a new process without calls.
 func (x *exchange) setState(s exchangeState) error {
 	x.stateMu.Lock()
 	defer x.stateMu.Unlock()
 	return x.changeState(s)
 }
 
-// leaveRunning changes the state of an exchange that runs; false: it does not, or another change came first.
+// leaveRunning changes the state of a running exchange. It reports false if the exchange is not running, for instance
+// because of another fault.
 func (x *exchange) leaveRunning(s exchangeState) bool {
 	x.stateMu.Lock()
 	defer x.stateMu.Unlock()
 	return x.isRunning() && x.changeState(s) == nil
 }
 
-// changeState changes the state and whether connections come up. exchange.stateMu is held.
+// changeState changes the state and whether connections are established. exchange.stateMu is held.
 func (x *exchange) changeState(s exchangeState) error {
 	if x.isInState(s) {
 		return nil
 	}
 	if s == exchangeVanished || s == exchangePartitioned {
-		// Before, because a connection that still comes up is a sign of life; and while the exchange goes on, because
-		// it takes some tenths of a second.
+		// Before the state changes, because controllers would take a new connection for a sign that the exchange runs;
+		// and while the exchange continues to work, because it takes some tenths of a second.
 		if err := x.setReachable(false); err != nil {
 			return err
 		}
@@ -190,13 +191,13 @@
 	return x.state == s
 }
 
-// enterState changes the state and what belongs to it at once, and returns the previous one.
+// enterState changes the state, calls and connections accordingly, and returns the previous state.
 func (x *exchange) enterState(s exchangeState) (previous exchangeState) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	previous = x.state
 	x.state = s
-	x.trace.noteState(x.id, s)
+	x.trace.recordState(x.id, s)
 	close(x.changed)
 	x.changed = make(chan struct{})
 	switch previous {
@@ -220,7 +221,7 @@
 	return previous
 }
 
-// setReachable makes new connections come up, or not any more.
+// setReachable makes the addresses of the exchange accept new connections, or leaves them unanswered.
 func (x *exchange) setReachable(isReachable bool) error {
 	errs := make(chan error, len(x.listeners))
 	for _, l := range x.listeners {
@@ -233,7 +234,7 @@
 	return err
 }
 
-// listenAgain listens at the addresses of a process that ended.
+// listenAgain listens at the addresses of the previous process.
 func (x *exchange) listenAgain() error {
 	var err error
 	for controller, l := range x.listeners {
@@ -242,10 +243,10 @@
 	return err
 }
 
-// abandonConns forgets all connections: they are reset, or stay open and silent for good.
+// abandonConns resets all connections, or leaves them open without ever using them again.
 func (x *exchange) abandonConns(reset bool) {
 	for _, c := range x.conns {
-		c.isSilent = !reset
+		c.isBlackholed = !reset
 		if reset {
 			c.reset()
 		}
@@ -255,22 +256,22 @@
 	}
 }
 
-// loseCalls ends all calls without a word to their controllers.
+// loseCalls ends all calls without notifying their controllers.
 func (x *exchange) loseCalls() {
 	for id, c := range x.calls {
 		c.stopTimer()
 		if c.isEstablished {
-			x.recordEnd(c, lossTime)
+			x.recordEnd(c, lossNotifyLimit)
 		} else {
 			x.record(invariant.AttemptBroken, c)
 		}
 		delete(x.calls, id)
 	}
-	x.unheard = nil
+	x.unconfirmed = nil
 }
 
-// suspendAttempts notes that open attempts cannot be given up in sight of the judge any more: the messages that give
-// them up are read when the exchange can be reached again.
+// suspendAttempts records that open attempts have ended. Their cancels cannot be observed now, because the exchange reads
+// them only when it can be reached again.
 func (x *exchange) suspendAttempts() {
 	for _, c := range x.calls {
 		if !c.isEstablished {
@@ -279,18 +280,18 @@
 	}
 }
 
-// resetConns resets the connections, as a middlebox does; the calls stand.
+// resetConns resets the connections, as a middlebox does. Established calls continue.
 func (x *exchange) resetConns() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range x.conns {
-		if !c.isSilent {
+		if !c.isBlackholed {
 			c.reset()
 		}
 	}
 }
 
-// close ends the exchange. Calls that stand are none of the judge's any more.
+// close ends the exchange. Its remaining calls are not checked any more.
 func (x *exchange) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -305,8 +306,8 @@
 	}
 }
 
-// recordStanding has the judge look at the calls that stand at the end of a run.
-func (x *exchange) recordStanding() {
+// recordEstablished records the calls that are still established at the end of a run.
+func (x *exchange) recordEstablished() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range x.calls {
@@ -316,17 +317,19 @@
 	}
 }
 
-// record passes an event of a call to the judge.
+// record passes an event of a call to the monitor.
 func (x *exchange) record(kind invariant.Kind, c *exchangeCall) {
-	x.judge.record(invariant.Event{
+	x.monitor.record(invariant.Event{
 		Kind: kind, Controller: c.controller, Call: c.id, Server: x.id, Attempt: c.attempt,
 	})
 }
 
-// recordEnd records that an established call is over, and how long its controller has to notify the caller.
-func (x *exchange) recordEnd(c *exchangeCall, limit time.Duration) { x.judge.record(x.endOf(c, limit)) }
+// recordEnd records that an established call has ended, and within which time its controller must notify the caller.
+func (x *exchange) recordEnd(c *exchangeCall, limit time.Duration) {
+	x.monitor.record(x.endOf(c, limit))
+}
 
-// endOf returns the event that an established call is over.
+// endOf returns the event that an established call has ended.
 func (x *exchange) endOf(c *exchangeCall, limit time.Duration) invariant.Event {
 	return invariant.Event{
 		Kind: invariant.CallEnded, Controller: c.controller, Call: c.id, Server: x.id, Attempt: c.attempt,
@@ -340,19 +343,20 @@
 	}
 }
 
-// Parts of a description. Its second line has the exchange, the attempt and the call.
+// Parts of a session description. Its second line has the exchange, the attempt and the call.
 const (
 	descriptionHead   = "v=0\r\ns="
 	descriptionFormat = descriptionHead + "%s/%d/%s\r\n"
 	descriptionFields = 3
 )
 
-// description returns the description by which an exchange answers an attempt. Callers check it.
+// description returns the session description by which an exchange answers an attempt. Callers check it.
 func (x *exchange) description(c *exchangeCall) string {
 	return fmt.Sprintf(descriptionFormat, x.id, c.attempt, c.id)
 }
 
-// parseDescription returns the exchange and the attempt that have a description for a call; false: none has made it.
+// parseDescription returns the exchange and the attempt in the description for a call. It reports false if the
+// description is not one that an exchange sent for the call.
 func parseDescription(text, callID string) (exchangeID string, attempt int, ok bool) {
 	fields := strings.Split(strings.TrimSuffix(strings.TrimPrefix(text, descriptionHead), "\r\n"), "/")
 	if len(fields) != descriptionFields || fields[2] != callID {
--- a/internal/sim/soak/exchange_call.go
+++ b/internal/sim/soak/exchange_call.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// Numbers of requests and status codes of an exchange.
+// CSeq numbers and status codes that an exchange sends.
 const (
 	releaseCSeq              = 9
 	statusOK                 = 200
@@ -37,12 +37,12 @@
 	}
 }
 
-// invite takes an attempt and answers it after a while.
+// invite handles an attempt, which is answered after a random delay.
 func (x *exchange) invite(conn *exchangeConn, m *sip.Message) {
 	c := &exchangeCall{id: m.CallID, number: m.User(), conn: conn, attempt: m.CSeq - 1}
-	c.controller = x.judge.checkSetup(x.id, m)
-	c.isLate = x.judge.isOverSince(c.id, conn.receivedAt)
-	if !c.isLate {
+	c.controller = x.monitor.checkSetup(x.id, m)
+	c.isOutdated = x.monitor.hasEndedAfter(c.id, conn.receivedAt)
+	if !c.isOutdated {
 		x.record(invariant.AttemptSent, c)
 	}
 	if existing := x.calls[c.id]; existing != nil {
@@ -54,8 +54,8 @@
 	c.timer = time.AfterFunc(delay, func() { x.answer(c, isBusy) })
 }
 
-// awaitProcess waits while the exchange's process is stopped, and reports whether it had to. exchange.mu is held, but
-// not while it waits.
+// awaitProcess waits while the exchange's process is stopped, and reports whether it had to wait. exchange.mu is held,
+// but released while it waits.
 func (x *exchange) awaitProcess() (waited bool) {
 	for x.state == exchangeHung {
 		waited = true
@@ -72,8 +72,8 @@
 	return waited
 }
 
-// whenRunning runs f on behalf of a call once the exchange's process runs, unless the call is over by then. It tells f
-// whether the process was stopped at the call's own time.
+// whenRunning runs f for a call once the exchange's process runs, unless the call has ended by then. wasStopped says
+// whether f was delayed because the process was stopped.
 func (x *exchange) whenRunning(c *exchangeCall, f func(wasStopped bool)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -86,7 +86,7 @@
 // answer establishes or rejects an attempt.
 func (x *exchange) answer(c *exchangeCall, isBusy bool) {
 	x.whenRunning(c, func(bool) {
-		if c.isLate { // and nobody has canceled it
+		if c.isOutdated { // it has not been canceled
 			x.record(invariant.AttemptSent, c)
 		}
 		if isBusy {
@@ -96,8 +96,8 @@
 				sip.Header{Name: "X-Diagnosis", Value: "cpu_full"}))
 			return
 		}
-		if x.spoiltShare > 0 && x.rng.Float64() < x.spoiltShare {
-			x.spoil(c)
+		if x.malformedShare > 0 && x.rng.Float64() < x.malformedShare {
+			x.sendMalformed(c)
 			return
 		}
 		x.record(invariant.AttemptAnswered, c)
@@ -108,32 +108,33 @@
 	})
 }
 
-// end releases an established call.
+// end ends an established call and sends its release.
 func (x *exchange) end(c *exchangeCall) {
 	x.whenRunning(c, func(wasStopped bool) {
 		delete(x.calls, c.id)
-		x.unheard = append(x.unheard, c)
+		x.unconfirmed = append(x.unconfirmed, c)
 		x.release(c, wasStopped)
 	})
 }
 
-// release sends the release of a call that is over. Its controller has a second from when the release is written, and
-// the longer time where it cannot be sent: a release that waits as the process stops has not been sent.
+// release sends the release of a call that has ended. Its controller has a second from the time at which the release is
+// written, and the longer limit if the release cannot be sent. A release that is queued when the process stops counts as
+// not sent.
 func (x *exchange) release(c *exchangeCall, wasStopped bool) {
-	x.recordEnd(c, lossTime)
+	x.recordEnd(c, lossNotifyLimit)
 	conn := x.connFor(c)
 	if conn == nil {
 		return
 	}
 	message := queuedMessage{text: c.release()}
-	// While the process was stopped its connections may have been closed, which it sees only now.
-	if !wasStopped && x.state.passesMessages() {
-		message.onWritten = func() { x.judge.recordReleaseSent(x.endOf(c, releaseTime)) }
+	// While the process was stopped, its connections may have been closed, which it detects only now.
+	if !wasStopped && x.state.carriesTraffic() {
+		message.onWritten = func() { x.monitor.recordReleaseSent(x.endOf(c, releaseNotifyLimit)) }
 	}
 	conn.queue(message)
 }
 
-// connFor returns the connection for the release of a call: that of its INVITE, else the latest; nil: there is none.
+// connFor returns the connection for the release of a call: that of its INVITE, or the latest one; nil: there is none.
 func (x *exchange) connFor(c *exchangeCall) *exchangeConn {
 	if c.conn.isUsable() {
 		return c.conn
@@ -159,21 +160,21 @@
 	})
 }
 
-// confirm notes that a controller has confirmed a release.
+// confirm records that a controller has confirmed a release.
 func (x *exchange) confirm(id string) {
-	x.unheard = slices.DeleteFunc(x.unheard, func(c *exchangeCall) bool { return c.id == id })
+	x.unconfirmed = slices.DeleteFunc(x.unconfirmed, func(c *exchangeCall) bool { return c.id == id })
 }
 
-// repeatReleases sends the releases that were not confirmed on another connection of their controller.
-func (x *exchange) repeatReleases(conn *exchangeConn) {
-	for _, c := range x.unheard {
+// resendReleases sends the unconfirmed releases for a controller on the given connection.
+func (x *exchange) resendReleases(conn *exchangeConn) {
+	for _, c := range x.unconfirmed {
 		if c.conn.controller == conn.controller {
 			conn.send(c.release())
 		}
 	}
 }
 
-// cancel gives an attempt up that is not answered.
+// cancel ends an attempt that has not been answered.
 func (x *exchange) cancel(conn *exchangeConn, m *sip.Message) {
 	c := x.calls[m.CallID]
 	if c == nil || c.isEstablished {
@@ -194,13 +195,13 @@
 	c.stopTimer()
 	delete(x.calls, c.id)
 	if c.isEstablished {
-		x.recordEnd(c, releaseTime)
+		x.recordEnd(c, releaseNotifyLimit)
 	} else {
 		x.record(invariant.AttemptCanceled, c)
 	}
 }
 
-// connectionLost gives up the open attempts of a connection that has ended.
+// connectionLost ends the open attempts of a connection that has ended.
 func (x *exchange) connectionLost(conn *exchangeConn) {
 	for id, c := range x.calls {
 		if c.conn == conn && !c.isEstablished {
@@ -211,7 +212,7 @@
 	}
 }
 
-// response returns a response to a request of a method.
+// response returns a response to a request.
 func response(status int, callID string, cseq int, method, body string, headers ...sip.Header) []byte {
 	b := []byte("SIP/2.0 " + strconv.Itoa(status) + " X\r\nCall-ID: " + callID + "\r\nCSeq: " + strconv.Itoa(cseq) +
 		" " + method + "\r\n")
--- a/internal/sim/soak/exchange_conn.go
+++ b/internal/sim/soak/exchange_conn.go
@@ -11,42 +11,45 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages for a controller that does not read.
+	// maxQueuedMessages bounds the queue for a controller that does not read.
 	maxQueuedMessages = 4096
 	readBufferBytes   = 64 << 10
-	// settleTime is how long the input of a connection that could not be read must pause to be complete.
-	settleTime = 5 * time.Millisecond
-	// backlogTime is how long after a process continues its connections may have been opened while it was stopped.
+	// quietTime is how long no more input must arrive until the input that arrived while a connection was not read is
+	// complete.
+	quietTime = 5 * time.Millisecond
+	// backlogTime is how long after a process continues an accepted connection counts as opened while it was stopped.
 	backlogTime = 100 * time.Millisecond
 )
 
-var errNothingPasses = errors.New("nothing passes on the connection any more")
+var errNoTraffic = errors.New("the connection carries no messages any more")
 
 // An exchangeConn is a controller's connection to an exchange.
 type exchangeConn struct {
-	exchange   *exchange
-	controller string
-	conn       net.Conn
-	out        chan queuedMessage
-	ended      chan struct{}
-	isEnded    bool
-	isSilent   bool // it leads to a process that vanished: nothing passes any more
-	isReset    bool
-	isBacklog  bool      // it was opened while the process was stopped: what it brought by then is read at once
-	isSpoilt   bool      // an answer that cannot be read was sent: nothing that follows can be
-	receivedAt time.Time // of the latest input; of the goroutine that serves
+	exchange      *exchange
+	controller    string
+	conn          net.Conn
+	out           chan queuedMessage
+	ended         chan struct{}
+	isEnded       bool
+	isBlackholed  bool // its process vanished: it never carries messages again
+	isReset       bool
+	isFromBacklog bool      // it was opened while the process was stopped: the input until then is read at once
+	sentMalformed bool      // a malformed answer was sent: nothing after it can be parsed
+	receivedAt    time.Time // time of the latest input; used by the goroutine that serves only
 }
 
 // A queuedMessage waits to be written.
 type queuedMessage struct {
 	text []byte
-	// onWritten is called once the message has been written without waiting for the exchange's process or for the
-	// network; nil: nothing is.
+	// onWritten is called when the message was written without waiting for the exchange's process or for the network;
+	// nil: no call.
 	onWritten func()
 }
 
 // isUsable reports whether the connection can carry messages. exchange.mu is held.
-func (c *exchangeConn) isUsable() bool { return !c.isEnded && !c.isSilent && !c.isReset && !c.isSpoilt }
+func (c *exchangeConn) isUsable() bool {
+	return !c.isEnded && !c.isBlackholed && !c.isReset && !c.sentMalformed
+}
 
 // accept accepts connections until the listener is closed.
 func (x *exchange) accept(controller string, l *listener) {
@@ -63,9 +66,9 @@
 			ended:      make(chan struct{}),
 		}
 		x.mu.Lock()
-		c.isBacklog = x.awaitProcess() || time.Since(x.resumedAt) < backlogTime
+		c.isFromBacklog = x.awaitProcess() || time.Since(x.resumedAt) < backlogTime
 		x.conns = append(x.conns, c)
-		x.repeatReleases(c)
+		x.resendReleases(c)
 		x.mu.Unlock()
 		go c.writeQueued()
 		go c.serve()
@@ -82,15 +85,15 @@
 	}
 	select {
 	case c.out <- m:
-		c.note(stepQueued, m.text)
+		c.trace(stepQueued, m.text)
 	default:
 		_ = c.conn.Close()
 	}
 }
 
-// note lists a step of messages on the connection.
-func (c *exchangeConn) note(step traceStep, text []byte) {
-	c.exchange.trace.note(step, c.exchange.id, c.controller, text)
+// trace records a step of messages on the connection.
+func (c *exchangeConn) trace(step traceStep, text []byte) {
+	c.exchange.trace.record(step, c.exchange.id, c.controller, text)
 }
 
 // reset closes the connection with a TCP reset. exchange.mu is held.
@@ -102,17 +105,17 @@
 	_ = c.conn.Close()
 }
 
-// awaitPassage waits until messages pass. It reports whether they ever do, and whether it had to wait.
-func (c *exchangeConn) awaitPassage() (passes, waited bool) {
+// awaitTraffic waits until the connection carries messages. It reports whether it can, and whether it had to wait.
+func (c *exchangeConn) awaitTraffic() (passes, waited bool) {
 	for {
 		c.exchange.mu.Lock()
 		state, changed := c.exchange.state, c.exchange.changed
-		isSilent, isReset := c.isSilent, c.isReset
+		isBlackholed, isReset := c.isBlackholed, c.isReset
 		c.exchange.mu.Unlock()
 		if isReset {
 			return false, waited
 		}
-		if state.passesMessages() && !isSilent {
+		if state.carriesTraffic() && !isBlackholed {
 			return true, waited
 		}
 		waited = true
@@ -126,7 +129,7 @@
 	}
 }
 
-// writeQueued writes the queue until the connection ends.
+// writeQueued writes queued messages until the connection ends.
 func (c *exchangeConn) writeQueued() {
 	for {
 		select {
@@ -142,11 +145,11 @@
 	}
 }
 
-// writeMessage writes a message once messages pass; false: the connection can carry none any more.
+// writeMessage writes a message once the connection carries messages. It reports false if it never will again.
 func (c *exchangeConn) writeMessage(m queuedMessage) bool {
-	passes, waited := c.awaitPassage()
+	passes, waited := c.awaitTraffic()
 	if waited {
-		c.note(stepHeld, m.text)
+		c.trace(stepHeld, m.text)
 	}
 	if !passes {
 		return false
@@ -155,14 +158,14 @@
 		_ = c.conn.Close()
 		return false
 	}
-	c.note(stepWritten, m.text)
+	c.trace(stepWritten, m.text)
 	if m.onWritten != nil && !waited {
 		m.onWritten()
 	}
 	return true
 }
 
-// serve handles what the connection brings until it ends.
+// serve handles the input of the connection until it ends.
 func (c *exchangeConn) serve() {
 	var reader sip.Reader
 	buffer := make([]byte, readBufferBytes)
@@ -170,7 +173,7 @@
 		n, err := c.conn.Read(buffer)
 		c.receivedAt = time.Now()
 		input := slices.Clone(buffer[:n])
-		c.note(stepReceived, input)
+		c.trace(stepReceived, input)
 		if err != nil || c.process(&reader, input, buffer) != nil {
 			break
 		}
@@ -178,16 +181,16 @@
 	c.end()
 }
 
-// process handles a piece of input once messages pass, with all that has come meanwhile. An error means that the
-// connection has ended or that the input cannot be read.
+// process handles input once the connection carries messages, together with the input that arrived meanwhile. An error
+// means that the connection has ended or that the input cannot be parsed.
 func (c *exchangeConn) process(reader *sip.Reader, input, buffer []byte) error {
 	for {
-		passes, waited := c.awaitPassage()
+		passes, waited := c.awaitTraffic()
 		if !passes {
-			return errNothingPasses
+			return errNoTraffic
 		}
-		if waited || c.isBacklog {
-			c.isBacklog = false
+		if waited || c.isFromBacklog {
+			c.isFromBacklog = false
 			more, err := c.readPending(buffer)
 			if err != nil {
 				return err
@@ -201,12 +204,12 @@
 	}
 }
 
-// readPending reads what arrived while nothing passed. An error means that the connection has ended: what it brought
-// before is given up with it.
+// readPending reads the input that arrived while the connection carried no messages. An error means that the connection
+// has ended; its earlier input is discarded.
 func (c *exchangeConn) readPending(buffer []byte) (pending []byte, err error) {
 	defer func() { _ = c.conn.SetReadDeadline(time.Time{}) }()
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(settleTime))
+		_ = c.conn.SetReadDeadline(time.Now().Add(quietTime))
 		n, err := c.conn.Read(buffer)
 		if n > 0 {
 			c.receivedAt = time.Now()
@@ -221,12 +224,12 @@
 	}
 }
 
-// handleInput handles the messages of a piece of input, unless nothing passes any more: then nothing of it has been
-// read. An INVITE that the same piece cancels has never been out.
+// handleInput handles the messages of an input, unless the connection carries no messages now; then isHandled is false
+// and the input counts as unread. An INVITE that is canceled in the same input is not recorded as an attempt.
 func (c *exchangeConn) handleInput(reader *sip.Reader, input []byte) (isHandled bool, err error) {
 	c.exchange.mu.Lock()
 	defer c.exchange.mu.Unlock()
-	if !c.exchange.state.passesMessages() || c.isSilent {
+	if !c.exchange.state.carriesTraffic() || c.isBlackholed {
 		return false, nil
 	}
 	var messages []*sip.Message
@@ -240,7 +243,7 @@
 			canceled[m.CallID] = true
 		}
 	}
-	c.note(stepHandled, input)
+	c.trace(stepHandled, input)
 	for _, m := range messages {
 		if m.Method == "INVITE" && canceled[m.CallID] {
 			c.send(response(statusRequestTerminated, m.CallID, m.CSeq, "INVITE", ""))
@@ -251,7 +254,7 @@
 	return true, err
 }
 
-// end forgets the connection.
+// end removes the connection.
 func (c *exchangeConn) end() {
 	_ = c.conn.Close()
 	x := c.exchange
@@ -262,6 +265,6 @@
 	x.conns = slices.DeleteFunc(x.conns, func(other *exchangeConn) bool { return other == c })
 	x.connectionLost(c)
 	if other := x.latestConn(c.controller); other != nil {
-		x.repeatReleases(other) // those that were written to a connection that had ended
+		x.resendReleases(other) // some may have been written to this connection after its end
 	}
 }
--- a/internal/sim/soak/exchange_test.go
+++ b/internal/sim/soak/exchange_test.go
@@ -10,13 +10,13 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// Calls of the tests.
+// Ids of the calls in the tests.
 const (
 	testCall  = "00000000000000aa"
 	otherCall = "00000000000000bb"
 )
 
-// A testExchange is an exchange with one established call, and the controller's end of its connection.
+// A testExchange is an exchange with one established call, together with the controller's end of its connection.
 type testExchange struct {
 	*exchange
 	conn net.Conn
@@ -25,8 +25,8 @@
 // establishCall establishes a call at a new exchange.
 func establishCall(t *testing.T) *testExchange {
 	t.Helper()
-	j := newJudge(time.Now())
-	x, err := startExchange(exchangeOptions{id: "s-0", controllers: []string{"n0"}, meanHold: time.Hour, seed: 1}, j)
+	mon := newMonitor(time.Now())
+	x, err := startExchange(exchangeOptions{id: "s-0", controllers: []string{"n0"}, meanHold: time.Hour, seed: 1}, mon)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	j.register(testCall, setup{controller: "n0", class: "voice", number: "1"})
-	j.record(invariant.Event{Kind: invariant.CallOffered, Controller: "n0", Call: testCall, Deadline: time.Minute})
+	mon.register(testCall, setup{controller: "n0", class: "voice", number: "1"})
+	mon.record(invariant.Event{Kind: invariant.CallOffered, Controller: "n0", Call: testCall, Deadline: time.Minute})
 	p := &testExchange{exchange: x, conn: conn}
 	p.write(t, invite(testCall))
 	p.await(t, func() bool { return x.calls[testCall] != nil && x.calls[testCall].isEstablished })
-	j.record(invariant.Event{Kind: invariant.CallEstablished, Controller: "n0", Call: testCall, Server: "s-0"})
+	mon.record(invariant.Event{Kind: invariant.CallEstablished, Controller: "n0", Call: testCall, Server: "s-0"})
 	return p
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// await waits until a condition holds, with exchange.mu held.
+// await waits until a condition holds. The condition is called with exchange.mu held.
 func (p *testExchange) await(t *testing.T, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -70,20 +70,20 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("waited in vain")
+	t.Fatal("the condition does not hold after 5 s")
 }
 
-// violations returns how often a rule is violated now.
+// violations returns how often a rule has been violated until now.
 func (p *testExchange) violations(r invariant.Rule) int {
-	j := p.judge
-	j.record(invariant.Event{Kind: invariant.ServerUpdated, Controller: "n0", Server: "other"})
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.checker.Count(r)
+	mon := p.monitor
+	mon.record(invariant.Event{Kind: invariant.ServerUpdated, Controller: "n0", Server: "other"})
+	mon.mu.Lock()
+	defer mon.mu.Unlock()
+	return mon.checker.Count(r)
 }
 
-// A release that was queued as the exchange's process stopped has not been sent: its controller has the longer time.
-// One that was written counts from then.
+// A release that is in the queue when the exchange's process stops has not been sent, so its controller has the longer
+// time limit. For a release that was written, the time limit starts then.
 func TestReleaseCountsOnceWritten(t *testing.T) {
 	t.Parallel()
 	for name, stops := range map[string]bool{"process runs": false, "process stops": true} {
@@ -95,11 +95,11 @@
 			c.stopTimer()
 			delete(p.calls, testCall)
 			p.release(c, false)
-			if stops { // at the moment in which the release waits in the queue
+			if stops { // while the release is in the queue
 				p.state = exchangeHung
 			}
 			p.mu.Unlock()
-			time.Sleep(releaseTime + clockSlack + 100*time.Millisecond)
+			time.Sleep(releaseNotifyLimit + clockSlack + 100*time.Millisecond)
 			want := 1
 			if stops {
 				want = 0
@@ -111,14 +111,14 @@
 	}
 }
 
-// An attempt that arrives as the exchange's process stops has not been handled: its cancel is not read either, and the
-// call may go to another exchange.
+// An attempt that arrives while the exchange's process stops must not count as handled: its cancel would not be read
+// either, and the controller may send the call to another exchange.
 func TestAttemptIsNotHandledWhileStopped(t *testing.T) {
 	t.Parallel()
 	p := establishCall(t)
 	p.mu.Lock()
 	p.write(t, invite(otherCall))
-	time.Sleep(50 * time.Millisecond) // the message is read, and waits for exchange.mu
+	time.Sleep(50 * time.Millisecond) // the message is read, then waits for exchange.mu
 	p.state = exchangeHung
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -131,8 +131,8 @@
 	}
 }
 
-// An attempt that reached an exchange before the final answer of its call is none behind the answer, however late the
-// exchange comes to handle it, if it is canceled then. One that is not, or that arrived behind the answer, is.
+// An attempt that arrived at an exchange before the final answer of its call and was canceled is no attempt after the
+// answer, however late the exchange handles it. One that was not canceled, or that arrived after the answer, is.
 func TestAttemptCountsFromItsArrival(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -141,21 +141,21 @@
 	}{
 		"before the answer, canceled":     {true, true, 0},
 		"before the answer, not canceled": {true, false, 1},
-		"behind the answer":               {false, false, 1},
+		"after the answer":                {false, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := establishCall(t)
-			p.judge.register(otherCall, setup{controller: "n0", class: "voice", number: "1"})
-			p.judge.record(invariant.Event{
+			p.monitor.register(otherCall, setup{controller: "n0", class: "voice", number: "1"})
+			p.monitor.record(invariant.Event{
 				Kind: invariant.CallOffered, Controller: "n0", Call: otherCall, Deadline: time.Minute,
 			})
 			p.mu.Lock()
 			if test.arrivesFirst {
 				p.write(t, invite(otherCall))
-				time.Sleep(50 * time.Millisecond) // it is received, and waits for exchange.mu
+				time.Sleep(50 * time.Millisecond) // the message is received, then waits for exchange.mu
 			}
-			p.judge.record(invariant.Event{Kind: invariant.CallRejected, Controller: "n0", Call: otherCall})
+			p.monitor.record(invariant.Event{Kind: invariant.CallRejected, Controller: "n0", Call: otherCall})
 			p.mu.Unlock()
 			if !test.arrivesFirst {
 				p.write(t, invite(otherCall))
@@ -173,8 +173,8 @@
 	}
 }
 
-// While the listener of an exchange that vanishes is being filled, which takes some tenths of a second, the exchange
-// goes on: what controllers give up then is given up then, not as it vanishes.
+// To make an exchange vanish, the accept queues of its listeners are filled first, which takes some tenths of a second.
+// The exchange must continue to work meanwhile, so that cancels in this time are observed when they arrive.
 func TestExchangeGoesOnUntilItVanishes(t *testing.T) {
 	t.Parallel()
 	p := establishCall(t)
@@ -196,12 +196,12 @@
 		t.Fatal(err)
 	}
 	if answered < 5 {
-		t.Errorf("%d tests were answered while the listener was being filled", answered)
+		t.Errorf("%d OPTIONS requests were answered while the queue was being filled, want 5 or more", answered)
 	}
 }
 
-// A fault that comes while the listener is being filled for another one finds the exchange not running any more: a
-// machine that vanished does not come back with the end of a partition.
+// A second fault while the accept queues are being filled for another one must not change the state: otherwise an
+// exchange that vanished would return at the end of a partition.
 func TestOneFaultAtATime(t *testing.T) {
 	t.Parallel()
 	p := establishCall(t)
@@ -209,6 +209,6 @@
 	go func() { vanished <- p.leaveRunning(exchangeVanished) }()
 	time.Sleep(20 * time.Millisecond)
 	if p.leaveRunning(exchangePartitioned) || !<-vanished || !p.isInState(exchangeVanished) {
-		t.Error("a second fault changed the state of an exchange that was vanishing")
+		t.Error("a partition changed the state of an exchange that was about to vanish")
 	}
 }
--- a/internal/sim/soak/draw.go
+++ b/internal/sim/soak/generate.go
@@ -22,28 +22,28 @@
 
 // A generator generates one plan.
 type generator struct {
-	rng   *rand.Rand
-	story *Story
+	rng  *rand.Rand
+	plan *Story
 }
 
 // DrawStory generates the plan of a seed. Consecutive seeds select the combinations in turn.
 func DrawStory(seed uint64) *Story {
-	d := &generator{rng: rand.New(rand.NewPCG(seed, planStream)), story: &Story{Seed: seed, CallTime: seconds(10)}}
+	d := &generator{rng: rand.New(rand.NewPCG(seed, planStream)), plan: &Story{Seed: seed, CallTime: seconds(10)}}
 	combination := combinations[seed%uint64(len(combinations))]
-	d.story.Combination = combination.name
+	d.plan.Combination = combination.name
 	d.deployment()
 	combination.generate(d)
 	if d.rng.Float64() < surgeShare {
 		d.add(FaultCrowd, d.randomBetween(1, 7), 0, d.randomBetween(0.5, 2))
 	}
-	return d.story
+	return d.plan
 }
 
 func (d *generator) deployment() {
 	deadlines := []float64{0.8, 1.2, 2, 3, 6, 9}
 	memories := []int{32, 64, 192}
 	sockets := []int{256, 512, 1024}
-	d.story.Deployment = Deployment{
+	d.plan.Deployment = Deployment{
 		Controllers: 2 + d.rng.IntN(3),
 		Exchanges:   3 + d.rng.IntN(4),
 		Classes:     []string{"voice", "urgent"}[:1+d.rng.IntN(2)],
@@ -53,7 +53,7 @@
 		MemoryMB:    memories[d.rng.IntN(len(memories))],
 		Sockets:     sockets[d.rng.IntN(len(sockets))],
 	}
-	d.story.Callers = CallerHabits{SlowWriters: 0.03, EarlyLeavers: 0.03, ClosesAtOnce: 0.02}
+	d.plan.Callers = CallerHabits{SlowWriters: 0.03, EarlyLeavers: 0.03, ClosesAtOnce: 0.02}
 }
 
 // randomBetween returns a random number in a range.
@@ -61,11 +61,11 @@
 
 func (d *generator) add(kind FaultKind, at float64, target int, duration float64) {
 	f := Fault{At: seconds(at), Kind: kind, Target: target, Duration: seconds(duration)}
-	d.story.Faults = append(d.story.Faults, f)
+	d.plan.Faults = append(d.plan.Faults, f)
 }
 
-func (d *generator) randomExchange() int   { return d.rng.IntN(d.story.Deployment.Exchanges) }
-func (d *generator) randomController() int { return d.rng.IntN(d.story.Deployment.Controllers) }
+func (d *generator) randomExchange() int   { return d.rng.IntN(d.plan.Deployment.Exchanges) }
+func (d *generator) randomController() int { return d.rng.IntN(d.plan.Deployment.Controllers) }
 
 // addExchangeFault adds a fault of one of the kinds at a random exchange.
 func (d *generator) addExchangeFault(at float64, kinds ...FaultKind) {
@@ -86,7 +86,7 @@
 // shutdowns ends one controller after another while exchanges hang, are replaced or become unreachable.
 func (d *generator) shutdowns() {
 	at := d.randomBetween(1, 3)
-	for i := range d.story.Deployment.Controllers {
+	for i := range d.plan.Deployment.Controllers {
 		kind := FaultTerminate
 		if d.rng.IntN(3) == 0 {
 			kind = FaultTerminateInReload
@@ -114,7 +114,7 @@
 
 // badClients adds bad clients, malformed answers and callers that abandon their calls early.
 func (d *generator) badClients() {
-	d.story.Callers = CallerHabits{SlowWriters: 0.1, EarlyLeavers: 0.25, ClosesAtOnce: 0.1, AreBad: true}
+	d.plan.Callers = CallerHabits{SlowWriters: 0.1, EarlyLeavers: 0.25, ClosesAtOnce: 0.1, AreBad: true}
 	for range 2 {
 		d.add(FaultSpoil, d.randomBetween(0.5, 5), d.randomExchange(), d.randomBetween(1, 4))
 	}
@@ -136,7 +136,7 @@
 
 // pieces adds messages in chunks, slow writers, and input that arrives while a connection is being closed.
 func (d *generator) pieces() {
-	d.story.Callers = CallerHabits{SlowWriters: 0.5, EarlyLeavers: 0.1, ClosesAtOnce: 0.2}
+	d.plan.Callers = CallerHabits{SlowWriters: 0.5, EarlyLeavers: 0.1, ClosesAtOnce: 0.2}
 	for range 4 {
 		d.addExchangeFault(d.randomBetween(0.5, 8), FaultReset, FaultSpoil, FaultLateConnections)
 	}
--- a/internal/sim/soak/inject.go
+++ b/internal/sim/soak/inject.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// removalDelay is how long after an exchange has vanished or ended discovery publishes that it is gone.
+	// removalDelay is the time after which discovery removes an exchange that has vanished or crashed for good.
 	removalDelay = 12 * time.Second
-	// dropNoticeTime is how long an exchange that ends goes on, to report the calls that it drops.
+	// dropNoticeTime is how long an exchange that is shut down continues to run, to release the calls that it drops.
 	dropNoticeTime = 200 * time.Millisecond
 	reloadCount    = 4
 	reloadInterval = 80 * time.Millisecond
-	crowdFactor    = 4
-	spoiltShare    = 0.3
+	surgeFactor    = 4
+	malformedShare = 0.3
 )
 
-// inject injects a fault and ends it.
+// inject injects a fault and ends it after its duration.
 func (r *Run) inject(f Fault) {
 	r.logf("-> %v", f)
 	duration := f.Duration.D()
@@ -28,7 +28,7 @@
 		r.directory.setSilent(false)
 	case FaultCrowd:
 		for _, c := range r.controllers {
-			c.callers.setRateFactor(crowdFactor)
+			c.callers.setRateFactor(surgeFactor)
 		}
 		time.Sleep(duration)
 		for _, c := range r.controllers {
@@ -41,7 +41,7 @@
 	}
 }
 
-// injectControllerFault injects a fault into a controller, unless another one is under way there.
+// injectControllerFault injects a fault into a controller, unless another fault in it is under way.
 func (r *Run) injectControllerFault(f Fault) {
 	c := r.controllers[f.Target]
 	if !c.reserve() {
@@ -64,7 +64,7 @@
 	case FaultKill:
 		c.kill()
 		c.restart()
-	default: // no fault of controllers
+	default: // not a fault of a controller
 	}
 }
 
@@ -76,9 +76,9 @@
 	case FaultReset:
 		x.resetConns()
 	case FaultSpoil:
-		x.setSpoiltShare(spoiltShare)
+		x.setMalformedShare(malformedShare)
 		time.Sleep(duration)
-		x.setSpoiltShare(0)
+		x.setMalformedShare(0)
 	case FaultReplace:
 		r.replace(f.Target, x, duration)
 	case FaultPartition:
@@ -91,11 +91,12 @@
 		r.changeState(x, exchangeVanished, duration)
 	case FaultLateConnections:
 		x.delayConnections(duration)
-	default: // no fault of exchanges
+	default: // not a fault of an exchange
 	}
 }
 
-// changeState changes the state of a running exchange for a while; 0: for good, and discovery publishes it late.
+// changeState changes the state of a running exchange for a duration. With 0 the change is permanent, and discovery
+// removes the exchange after removalDelay.
 func (r *Run) changeState(x *exchange, s exchangeState, duration time.Duration) {
 	if !x.leaveRunning(s) {
 		return
@@ -108,15 +109,15 @@
 		return
 	}
 	time.Sleep(duration)
-	r.check(x.setState(exchangeRunning))
+	r.logError(x.setState(exchangeRunning))
 	if s == exchangeCrashed || s == exchangeVanished {
-		r.directory.publish() // with the start of the new process
+		r.directory.publish() // because the start time of the process has changed
 	}
 }
 
-// replace starts another exchange in the place of one, which drains for a while and ends.
-func (r *Run) replace(place int, x *exchange, duration time.Duration) {
-	if !r.beginReplacement(place, x) {
+// replace starts the successor of an exchange, which drains for a duration and then ends.
+func (r *Run) replace(slot int, x *exchange, duration time.Duration) {
+	if !r.beginReplacement(slot, x) {
 		return
 	}
 	r.directory.drain(x)
@@ -129,21 +130,22 @@
 	r.directory.publish()
 }
 
-// beginReplacement starts the successor of a running exchange.
-func (r *Run) beginReplacement(place int, x *exchange) bool {
+// beginReplacement starts the successor of an exchange. It reports false if the exchange is not running or has already
+// been replaced.
+func (r *Run) beginReplacement(slot int, x *exchange) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.exchanges[place] != x || !x.isRunning() {
+	if r.exchanges[slot] != x || !x.isRunning() {
 		return false
 	}
 	r.generation++
-	successor, err := r.newExchange(fmt.Sprintf("s-%d-%d", place, r.generation), place)
+	successor, err := r.newExchange(fmt.Sprintf("s-%d-%d", slot, r.generation), slot)
 	if err != nil {
 		r.logf("%v", err)
 		return false
 	}
 	successor.started = time.Now()
-	r.exchanges[place] = successor
+	r.exchanges[slot] = successor
 	r.directory.add(successor)
 	return true
 }
@@ -155,7 +157,7 @@
 	return x.state == exchangeRunning
 }
 
-// dropCalls releases all calls, as an exchange that ends does.
+// dropCalls releases all established calls, as an exchange that is shut down does.
 func (x *exchange) dropCalls() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -169,7 +171,7 @@
 	}
 }
 
-// delayConnections lets no connection come up for a while; those that are open work.
+// delayConnections leaves new connections unanswered for a duration. Open connections continue to work.
 func (x *exchange) delayConnections(duration time.Duration) {
 	if !x.setReachableWhileRunning(false) {
 		return
@@ -178,22 +180,22 @@
 	x.setReachableWhileRunning(true)
 }
 
-// setReachableWhileRunning makes new connections come up, or not any more, unless the exchange's state decides on that.
+// setReachableWhileRunning is setReachable for a running exchange. In other states, the state decides.
 func (x *exchange) setReachableWhileRunning(isReachable bool) bool {
 	x.stateMu.Lock()
 	defer x.stateMu.Unlock()
 	return x.isRunning() && x.setReachable(isReachable) == nil
 }
 
-// setSpoiltShare sets the share of answers that arrive spoilt.
-func (x *exchange) setSpoiltShare(share float64) {
+// setMalformedShare sets the share of answers that are malformed.
+func (x *exchange) setMalformedShare(share float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.spoiltShare = share
+	x.malformedShare = share
 }
 
-// spoiltAnswers are what arrives in place of a good answer. In each case the request has run.
-var spoiltAnswers = []string{
+// malformedAnswers are sent in slot of valid answers. The exchange has handled the request in each case.
+var malformedAnswers = []string{
 	"\x00\xff\x01\x02\r\n\r\n",
 	"SIP/2.0 2x0 OK\r\n\r\n",
 	"SIP/2.0 200 OK\r\nCall-ID: ",
@@ -202,12 +204,12 @@
 	"",
 }
 
-// spoil answers an attempt with something that cannot be read. The connection can no longer be used; what stands open
-// on it ends with it.
-func (x *exchange) spoil(c *exchangeCall) {
-	text := spoiltAnswers[x.rng.IntN(len(spoiltAnswers))]
+// sendMalformed answers an attempt with a message that cannot be parsed. The connection is not used any more, and the
+// open attempts on it end with it.
+func (x *exchange) sendMalformed(c *exchangeCall) {
+	text := malformedAnswers[x.rng.IntN(len(malformedAnswers))]
 	c.conn.send([]byte(text))
 	if text != "" {
-		c.conn.isSpoilt = true
+		c.conn.sentMalformed = true
 	}
 }
--- a/internal/sim/soak/listener.go
+++ b/internal/sim/soak/listener.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// listenBacklog is the number of connections that wait to be accepted while a machine can be reached.
+	// listenBacklog is the length of the accept queue while the host can be reached.
 	listenBacklog = 512
-	// maxFillers bounds the connections that fill the queue of a machine that cannot be reached.
+	// maxFillers bounds the number of connections that fill the accept queue of an unreachable host.
 	maxFillers = 8
-	// fillTimeout is how long a connection that fills the queue may take.
+	// fillTimeout is how long the listener waits for a filler connection to be established.
 	fillTimeout = 100 * time.Millisecond
-	// wantedFillFailures is how many connections in a row do not come up where the queue is full.
-	wantedFillFailures = 2
+	// requiredFillFailures is the number of consecutive failures by which the queue counts as full.
+	requiredFillFailures = 2
 )
 
-// fillerIP is the address that connections which fill a queue come from, by which accept knows them.
+// fillerIP is the source address of filler connections, by which accept recognizes them.
 var fillerIP = net.IPv4(127, 255, 0, 1)
 
-// A listener accepts connections, and can be made unreachable: then connections are neither refused nor established,
-// as at a machine that vanished. The queue of the socket is shortened and filled, so that the kernel drops further SYN
-// segments.
+// A listener accepts connections, and can be made unreachable: then connections are neither refused nor established, as
+// with a host that vanished. To this end the accept queue of the socket is shortened and filled, so that the kernel
+// drops further SYN segments.
 type listener struct {
 	*net.TCPListener
 	socket int // shares the listening socket with TCPListener
@@ -37,7 +37,7 @@
 	open     chan struct{} // closed while connections are accepted
 }
 
-// listen opens a listener on an address of host:port; port 0 takes a free one.
+// listen opens a listener on an address in the form host:port; port 0 selects a free one.
 func listen(address string) (*listener, error) {
 	tcp, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// address returns the address that the listener has bound.
+// address returns the address to which the listener is bound.
 func (l *listener) address() string { return l.Addr().String() }
 
-// accept returns the next connection. It waits while the machine cannot be reached.
+// accept returns the next connection. It waits while the listener is unreachable.
 func (l *listener) accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
@@ -101,13 +101,13 @@
 	}
 }
 
-// isFiller reports whether a connection is one of those that fill the queue: no controller is behind it.
+// isFiller reports whether a connection is a filler connection, not one of a controller.
 func isFiller(conn net.Conn) bool {
 	remote, ok := conn.RemoteAddr().(*net.TCPAddr)
 	return ok && remote.IP.Equal(fillerIP)
 }
 
-// setReachable makes new connections come up again, or not any more.
+// setReachable makes the listener reachable or unreachable for new connections.
 func (l *listener) setReachable(isReachable bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +118,7 @@
 		return l.reopen()
 	}
 	l.open = make(chan struct{})
-	if err := l.SetDeadline(time.Now()); err != nil { // ends the Accept that waits
+	if err := l.SetDeadline(time.Now()); err != nil { // ends a blocked Accept
 		return err
 	}
 	if err := syscall.Listen(l.socket, 0); err != nil {
@@ -146,8 +146,8 @@
 	return err
 }
 
-// fillQueue connects to the listener until two connections in a row do not come up: the first may have found the queue
-// full of one that the Accept which was under way has taken since.
+// fillQueue connects to the listener until two consecutive connections are not established. One failure is not enough:
+// a blocked Accept may have taken a connection out of the full queue after it.
 func (l *listener) fillQueue() error {
 	failures := 0
 	dialer := net.Dialer{Timeout: fillTimeout, LocalAddr: &net.TCPAddr{IP: fillerIP}}
@@ -159,14 +159,14 @@
 			continue
 		}
 		failures++
-		if failures == wantedFillFailures {
+		if failures == requiredFillFailures {
 			return nil
 		}
 	}
-	return errors.New("the queue of the listener does not fill")
+	return errors.New("the accept queue of the listener is not full")
 }
 
-// close stops listening: from then on connections are refused. It may be called again.
+// close stops listening, so that connections are refused. Further calls have no effect.
 func (l *listener) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sim/soak/listener_test.go
+++ b/internal/sim/soak/listener_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A listener that cannot be reached neither accepts nor refuses; afterwards it accepts, and once closed it refuses.
+// An unreachable listener neither accepts nor refuses connections, a reachable one accepts and a closed one refuses.
 func TestListenerThatCannotBeReached(t *testing.T) {
 	l, err := listen("127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 		var timeout net.Error
 		if err := dial(); !errors.As(err, &timeout) || !timeout.Timeout() {
-			t.Fatalf("while it cannot be reached: %v, want a time-out", err)
+			t.Fatalf("dial to the unreachable listener: %v, want a timeout", err)
 		}
 		if err := l.setReachable(true); err != nil {
 			t.Fatal(err)
@@ -54,14 +54,14 @@
 	}
 	l.close()
 	if err := dial(); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("once closed: %v, want a refusal", err)
+		t.Errorf("dial to the closed listener: %v, want connection refused", err)
 	}
 	for conn := range accepted {
-		t.Errorf("a connection from %v was accepted as well", conn.RemoteAddr())
+		t.Errorf("an unexpected connection from %v was accepted", conn.RemoteAddr())
 	}
 }
 
-// The connections that fill the queue are never taken for those of a controller, which releases would go to.
+// Filler connections must not be accepted: the exchange would send releases on them as on those of a controller.
 func TestFillersAreNotAccepted(t *testing.T) {
 	t.Parallel()
 	l, err := listen("127.0.0.1:0")
@@ -89,6 +89,6 @@
 	}
 	l.close()
 	for conn := range accepted {
-		t.Errorf("a connection from %v was accepted", conn.RemoteAddr())
+		t.Errorf("the filler connection from %v was accepted", conn.RemoteAddr())
 	}
 }
--- a/internal/sim/soak/message_trace.go
+++ b/internal/sim/soak/message_trace.go
@@ -9,21 +9,20 @@
 	"time"
 )
 
-// A traceStep is what happens to a message, or to the exchange itself.
+// A traceStep is a step in the handling of a message, or a change of the exchange's state.
 type traceStep string
 
 const (
-	stepReceived traceStep = "received" // read from the socket, and waits for the exchange's process
-	stepHandled  traceStep = "handled"  // by the exchange's process
-	stepQueued   traceStep = "queued"   // by the exchange's process
-	stepWritten  traceStep = "written"  // to the socket: the controller's kernel has it
-	stepHeld     traceStep = "held"     // queued, but nothing passes
+	stepReceived traceStep = "received" // read from the socket; waits for the exchange's process
+	stepHandled  traceStep = "handled"  // handled by the exchange's process
+	stepQueued   traceStep = "queued"   // queued by the exchange's process
+	stepWritten  traceStep = "written"  // written to the socket, so the kernel has it
+	stepHeld     traceStep = "held"     // had to wait in the queue because the connection carried no messages
 	stepState    traceStep = "state"    // the exchange's state has changed
 )
 
-// A messageTrace lists what passes between controllers and exchanges, so that a violation can be traced to the bytes
-// on the controller's side of a connection. The nil *messageTrace lists nothing. Its methods are safe for concurrent
-// use.
+// A messageTrace logs the messages between controllers and exchanges, so that a violation can be traced to the bytes on
+// the controller's side of a connection. A nil *messageTrace logs nothing. Its methods are safe for concurrent use.
 type messageTrace struct {
 	startTime time.Time
 
@@ -35,8 +34,8 @@
 	return &messageTrace{startTime: startTime, out: bufio.NewWriter(out)}
 }
 
-// note lists a step of the messages in a piece of text: their first lines and calls.
-func (t *messageTrace) note(step traceStep, exchangeID, controller string, text []byte) {
+// record logs a step of the messages in a text, with their calls and first lines.
+func (t *messageTrace) record(step traceStep, exchangeID, controller string, text []byte) {
 	if t == nil {
 		return
 	}
@@ -61,8 +60,8 @@
 	return strings.HasPrefix(line, "SIP/2.0 ") || strings.HasSuffix(line, " SIP/2.0")
 }
 
-// noteState lists a change of an exchange's state.
-func (t *messageTrace) noteState(exchangeID string, s exchangeState) {
+// recordState logs a change of an exchange's state.
+func (t *messageTrace) recordState(exchangeID string, s exchangeState) {
 	if t == nil {
 		return
 	}
@@ -71,7 +70,7 @@
 	_, _ = fmt.Fprintf(t.out, "%9.6f %-8s %s %v\n", time.Since(t.startTime).Seconds(), stepState, exchangeID, s)
 }
 
-// flush writes what is buffered.
+// flush writes buffered output.
 func (t *messageTrace) flush() error {
 	if t == nil {
 		return nil
--- a/internal/sim/soak/story.go
+++ b/internal/sim/soak/plan.go
@@ -7,38 +7,39 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A FaultKind says what goes wrong. Its text is the value of the key "kind" in results.
+// A FaultKind is the kind of a Fault. Its text is the value of the key "kind" in results.
 type FaultKind int
 
 // Kinds of faults. Target is the number of an exchange or of a controller.
 const (
-	// FaultVanish makes an exchange vanish: for good, or until a new process starts after Duration at its address.
+	// FaultVanish removes an exchange without closing its connections. After Duration a new process starts at its
+	// address; with 0 none does.
 	FaultVanish FaultKind = iota + 1
-	// FaultPartition cuts an exchange off for Duration; its calls stand.
+	// FaultPartition isolates an exchange from the network for Duration. Its established calls continue.
 	FaultPartition
-	// FaultHang stops an exchange's process for Duration; its calls stand and connections come up.
+	// FaultHang stops an exchange's process for Duration. Its calls continue, and connections are still established.
 	FaultHang
-	// FaultCrash ends an exchange's process; a new one starts after Duration at its address.
+	// FaultCrash ends an exchange's process. A new one starts at its address after Duration.
 	FaultCrash
-	// FaultReplace starts another exchange, drains the target for Duration and ends it.
+	// FaultReplace starts a successor of an exchange, which drains for Duration and then ends.
 	FaultReplace
 	// FaultReset resets the connections to an exchange.
 	FaultReset
-	// FaultLateConnections lets no connection to an exchange come up for Duration.
+	// FaultLateConnections leaves new connections to an exchange unanswered for Duration.
 	FaultLateConnections
-	// FaultSpoil spoils a share of an exchange's answers for Duration.
+	// FaultSpoil makes a share of an exchange's answers malformed for Duration.
 	FaultSpoil
 	// FaultSilentDiscovery makes discovery ignore all queries for Duration.
 	FaultSilentDiscovery
-	// FaultReload moves the discovery of a controller several times in quick succession.
+	// FaultReload moves the name service of a controller several times in quick succession, each time with a reload.
 	FaultReload
-	// FaultTerminate sends SIGTERM to a controller, and SIGKILL at the earliest time; it starts again at once.
+	// FaultTerminate sends SIGTERM to a controller, and SIGKILL at the earliest time, and restarts it at once.
 	FaultTerminate
-	// FaultTerminateInReload sends SIGTERM right behind several SIGHUPs.
+	// FaultTerminateInReload sends SIGTERM to a controller right after several SIGHUPs, and restarts it.
 	FaultTerminateInReload
-	// FaultKill sends SIGKILL to a controller; it starts again at once.
+	// FaultKill sends SIGKILL to a controller and restarts it at once.
 	FaultKill
-	// FaultCrowd makes the callers of all controllers call several times as often for Duration.
+	// FaultCrowd multiplies the call rate at all controllers for Duration.
 	FaultCrowd
 )
 
@@ -55,20 +56,20 @@
 // MarshalText implements encoding.TextMarshaler.
 func (k FaultKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// A Fault is one thing that goes wrong.
+// A Fault is a fault that is injected at a given time.
 type Fault struct {
-	At       scenario.Duration `json:"at"` // since calls began
+	At       scenario.Duration `json:"at"` // since the first calls
 	Kind     FaultKind         `json:"kind"`
 	Target   int               `json:"target"`
 	Duration scenario.Duration `json:"duration"`
 }
 
-// String formats the fault as a line of a log.
+// String formats the fault for the log.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s %d for %v", f.Kind, f.Target, f.Duration.D())
 }
 
-// A Deployment is the size and the settings of a trial.
+// A Deployment is the size and the settings of the system under test.
 type Deployment struct {
 	Controllers int               `json:"controllers"`
 	Exchanges   int               `json:"exchanges"`
@@ -80,25 +81,25 @@
 	Sockets     int               `json:"sockets"`
 }
 
-// CallerHabits are shares of the callers that make it hard.
+// CallerHabits are the shares of callers with difficult behavior.
 type CallerHabits struct {
-	SlowWriters  float64 `json:"slow_writers"`  // write their set-up in pieces
-	EarlyLeavers float64 `json:"early_leavers"` // give up before they are answered
+	SlowWriters  float64 `json:"slow_writers"`  // write their set-up in chunks
+	EarlyLeavers float64 `json:"early_leavers"` // abandon their call before its deadline
 	ClosesAtOnce float64 `json:"closes_at_once"`
-	AreBad       bool    `json:"bad"` // bad clients come as well
+	AreBad       bool    `json:"bad"` // bad clients connect too
 }
 
-// A Story is what happens in a trial.
+// A Story is the plan of a run.
 type Story struct {
 	Seed        uint64            `json:"seed"`
 	Combination string            `json:"combination"`
 	Deployment  Deployment        `json:"deployment"`
 	Callers     CallerHabits      `json:"callers"`
-	CallTime    scenario.Duration `json:"call_time"` // how long calls are made
+	CallTime    scenario.Duration `json:"call_time"` // how long calls are generated
 	Faults      []Fault           `json:"faults"`
 }
 
-// Settings that all trials share; times in milliseconds.
+// Settings that all plans share; times are in milliseconds.
 const (
 	retryGuardMS     = 300
 	connectTimeoutMS = 500
@@ -108,10 +109,10 @@
 	slowStartShare   = 0.5
 )
 
-// latencyShare is the part of the deadline within which a call is worth all.
+// latencyShare is the share of the deadline within which an answer has its full value.
 const latencyShare = 0.3
 
-// settings returns the platform's settings of a controller.
+// settings returns the settings in the configuration of a controller.
 func (d *Deployment) settings(number int) map[string]any {
 	var classes []map[string]any
 	var lengths []int64
@@ -140,5 +141,5 @@
 	}
 }
 
-// seconds converts to a Duration.
+// seconds converts seconds to a Duration.
 func seconds(s float64) scenario.Duration { return scenario.Duration(s * float64(time.Second)) }
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// settleTime is how long a trial goes on once no calls are made: the longest time that a rule gives, and a margin.
-	trialSettleTime = lossTime + time.Second
-	// firstPort is the port of the first controller, on an address of the trial's own.
+	// settleTime is how long a run continues after the last call: the longest time limit of a rule, and a margin.
+	settleTime = lossNotifyLimit + time.Second
+	// firstPort is the port of the first controller. Each run has its own loopback address.
 	firstPort = 7000
-	// stopTimeout bounds the orderly end of all processes.
+	// stopTimeout is how long a killed process may take to end.
 	stopTimeout = 6 * time.Second
-	// traceFileName is the file of the messages between controllers and exchanges.
+	// traceFileName is the file with the log of messages between controllers and exchanges.
 	traceFileName = "messages.txt"
 )
 
-// Options say how a story is played.
+// Options configure a run.
 type Options struct {
-	Program string    // path of olivedale
-	Dir     string    // folder for configurations and logs; Play makes it and leaves it
-	Out     io.Writer // progress, as text; nil: none
+	Program string    // path of the program olivedale
+	Dir     string    // directory for configurations and logs; it is created, and kept after the run
+	Out     io.Writer // progress as text; nil: discarded
 }
 
-// A Result is what a trial showed.
+// A Result is the result of a run.
 type Result struct {
 	Story      *Story                 `json:"story"`
 	Counts     Counts                 `json:"counts"`
 	Violations []*invariant.Violation `json:"violations"`
 }
 
-// A Run is a trial that runs.
+// A Run is a run in progress.
 type Run struct {
 	options     Options
-	story       *Story
+	plan        *Story
 	startTime   time.Time
-	judge       *judge
+	monitor     *monitor
 	directory   *directory
 	controllers []*controller
 	done        chan struct{} // closed when no more calls are made
@@ -53,15 +53,15 @@
 	outMu sync.Mutex
 
 	mu         sync.Mutex
-	exchanges  []*exchange // by place
-	all        []*exchange // also those that were replaced
+	exchanges  []*exchange // by slot
+	all        []*exchange // including those that were replaced
 	generation int
 }
 
-// Play plays a story and returns when all that it started has ended. An error is one of the harness; what the program
-// did wrong is in the Result.
-func Play(o Options, story *Story) (*Result, error) {
-	r, err := newRun(o, story)
+// Play runs a plan and returns when all processes and servers have ended. An error is one of the test harness; violations
+// by the program are in the Result.
+func Play(o Options, plan *Story) (*Result, error) {
+	r, err := newRun(o, plan)
 	if err != nil {
 		return nil, err
 	}
@@ -71,11 +71,11 @@
 	}
 	r.play()
 	r.checkEnd()
-	violations, counts := r.judge.finish()
-	return &Result{Story: story, Counts: counts, Violations: violations}, nil
+	violations, counts := r.monitor.finish()
+	return &Result{Story: plan, Counts: counts, Violations: violations}, nil
 }
 
-func newRun(o Options, story *Story) (*Run, error) {
+func newRun(o Options, plan *Story) (*Run, error) {
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
@@ -93,16 +93,16 @@
 	}
 	now := time.Now()
 	r := &Run{
-		options: o, story: story, startTime: now, judge: newJudge(now), done: make(chan struct{}),
+		options: o, plan: plan, startTime: now, monitor: newMonitor(now), done: make(chan struct{}),
 		trace: newMessageTrace(traceFile, now), traceFile: traceFile,
 	}
-	r.directory = newDirectory(r.judge)
+	r.directory = newDirectory(r.monitor)
 	host := loopback.RandomHost()
-	for i := range story.Deployment.Controllers {
+	for i := range plan.Deployment.Controllers {
 		c := &controller{
 			run: r, name: fmt.Sprint("n", i), number: i, listen: fmt.Sprint(host, ":", firstPort+i), dir: dir,
 		}
-		c.callers = newCallers(r, c, story.Seed)
+		c.callers = newCallers(r, c, plan.Seed)
 		r.controllers = append(r.controllers, c)
 	}
 	return r, nil
@@ -112,8 +112,8 @@
 func (r *Run) start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for place := range r.story.Deployment.Exchanges {
-		x, err := r.newExchange(fmt.Sprint("s-", place), place)
+	for slot := range r.plan.Deployment.Exchanges {
+		x, err := r.newExchange(fmt.Sprint("s-", slot), slot)
 		if err != nil {
 			return err
 		}
@@ -131,75 +131,75 @@
 }
 
 // newExchange starts an exchange. Run.mu is held.
-func (r *Run) newExchange(id string, place int) (*exchange, error) {
+func (r *Run) newExchange(id string, slot int) (*exchange, error) {
 	var names []string
 	for _, c := range r.controllers {
 		names = append(names, c.name)
 	}
 	x, err := startExchange(exchangeOptions{
-		id: id, pool: place, controllers: names, meanHold: r.story.Deployment.MeanHold.D(),
-		seed: r.story.Seed + uint64(r.generation), trace: r.trace,
-	}, r.judge)
+		id: id, pool: slot, controllers: names, meanHold: r.plan.Deployment.MeanHold.D(),
+		seed: r.plan.Seed + uint64(r.generation), trace: r.trace,
+	}, r.monitor)
 	if err == nil {
 		r.all = append(r.all, x)
 	}
 	return x, err
 }
 
-// exchange returns the exchange in a place.
-func (r *Run) exchange(place int) *exchange {
+// exchange returns the current exchange of a slot.
+func (r *Run) exchange(slot int) *exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.exchanges[place]
+	return r.exchanges[slot]
 }
 
-// standsAtExchange reports whether a call is established at an exchange that runs.
-func (r *Run) standsAtExchange(id, server string) bool {
+// isEstablishedAt reports whether a call is established at an exchange.
+func (r *Run) isEstablishedAt(id, server string) bool {
 	r.mu.Lock()
 	all := r.all
 	r.mu.Unlock()
 	for _, x := range all {
 		x.mu.Lock()
 		c := x.calls[id]
-		stands := x.id == server && c != nil && c.isEstablished
+		isEstablished := x.id == server && c != nil && c.isEstablished
 		x.mu.Unlock()
-		if stands {
+		if isEstablished {
 			return true
 		}
 	}
 	return false
 }
 
-// play makes calls, injects the faults, and waits until all rules have been able to be broken.
+// play generates calls, injects the faults, and waits until the time limits of all rules have passed.
 func (r *Run) play() {
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	start := time.Now()
 	for _, c := range r.controllers {
-		playing.Go(func() { c.callers.generate(r.done) })
-		if r.story.Callers.AreBad {
-			playing.Go(func() { c.callers.runBadClients(r.done, r.story.Seed) })
+		running.Go(func() { c.callers.generate(r.done) })
+		if r.plan.Callers.AreBad {
+			running.Go(func() { c.callers.runBadClients(r.done, r.plan.Seed) })
 		}
 	}
-	for _, f := range r.story.Faults {
-		playing.Go(func() {
+	for _, f := range r.plan.Faults {
+		running.Go(func() {
 			time.Sleep(time.Until(start.Add(f.At.D())))
 			r.inject(f)
 		})
 	}
-	time.Sleep(time.Until(start.Add(r.story.CallTime.D())))
+	time.Sleep(time.Until(start.Add(r.plan.CallTime.D())))
 	close(r.done)
-	playing.Wait() // faults have ended by now, also those that callers do not see any more
-	time.Sleep(trialSettleTime + r.story.Deployment.Deadline.D()/4)
+	running.Wait() // waits for faults too, some of which end after the last call
+	time.Sleep(settleTime + r.plan.Deployment.Deadline.D()/4)
 }
 
-// check logs an error of the harness.
-func (r *Run) check(err error) {
+// logError logs an error of the test harness.
+func (r *Run) logError(err error) {
 	if err != nil {
 		r.logf("harness: %v", err)
 	}
 }
 
-// checkEnd checks what must hold at the end: processes, limits, calls that stand, the orderly end.
+// checkEnd checks the state at the end of a run: processes, limits, established calls, and the exit after SIGTERM.
 func (r *Run) checkEnd() {
 	for _, c := range r.controllers {
 		c.checkRunning()
@@ -210,7 +210,7 @@
 	r.mu.Unlock()
 	for _, x := range all {
 		if x.isRunning() {
-			x.recordStanding()
+			x.recordEstablished()
 		}
 	}
 	var stopping sync.WaitGroup
@@ -224,7 +224,7 @@
 	stopping.Wait()
 }
 
-// stop ends everything that runs.
+// stop ends all processes, exchanges and name services.
 func (r *Run) stop() {
 	for _, c := range r.controllers {
 		c.mu.Lock()
@@ -237,7 +237,7 @@
 		select {
 		case <-exited:
 		case <-time.After(stopTimeout):
-			r.logf("%s does not end", c.name)
+			r.logf("%s has not ended after SIGKILL", c.name)
 		}
 		c.callers.disconnect()
 	}
@@ -247,10 +247,10 @@
 		x.close()
 	}
 	r.directory.close()
-	r.check(errors.Join(r.trace.flush(), r.traceFile.Close()))
+	r.logError(errors.Join(r.trace.flush(), r.traceFile.Close()))
 }
 
-// logf writes a line of progress, with the time of the trial.
+// logf writes a line of progress, with the time since the start of the run.
 func (r *Run) logf(format string, args ...any) {
 	r.outMu.Lock()
 	defer r.outMu.Unlock()
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -14,10 +14,10 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// programDir is the folder of the program; "": it was not needed.
+// programDir is the directory of the program; "": it was not built.
 var programDir string
 
-// program builds the call controller once.
+// program builds the call controller once and returns its path.
 var program = sync.OnceValues(func() (path string, err error) {
 	if programDir, err = os.MkdirTemp("", "soak-bin-"); err != nil {
 		return "", err
@@ -37,14 +37,14 @@
 	os.Exit(code)
 }
 
-// playStory plays a story; the log of the test has its course.
-func playStory(t *testing.T, story *Story) *Result {
+// runPlan runs a plan and writes its progress to the log of the test.
+func runPlan(t *testing.T, plan *Story) *Result {
 	t.Helper()
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(Options{Program: path, Dir: t.TempDir(), Out: t.Output()}, story)
+	r, err := Play(Options{Program: path, Dir: t.TempDir(), Out: t.Output()}, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	return r
 }
 
-// reportViolations fails the test for each violation.
+// reportViolations fails the test with each violation and its events.
 func reportViolations(t *testing.T, violations []*invariant.Violation) {
 	t.Helper()
 	for _, v := range violations {
@@ -63,9 +63,9 @@
 	}
 }
 
-// quietStory is a trial of one controller and two exchanges without faults; calls are released by their callers or
-// last longer than the trial.
-func quietStory(faults ...Fault) *Story {
+// minimalPlan returns a plan with one controller, two exchanges and the given faults. Calls are released by their callers
+// or last longer than the run.
+func minimalPlan(faults ...Fault) *Story {
 	return &Story{
 		Seed:        1,
 		Combination: "test",
@@ -78,45 +78,45 @@
 	}
 }
 
-// An exchange vanishes without a word while discovery is down: the callers of the calls that stood there are notified
-// within 8 s (report 485f2c), whether or not set-ups go on.
+// An exchange vanishes without closing its connections while discovery is silent: the callers of its established calls
+// must be notified within 8 s (report 485f2c), whether or not new set-ups arrive.
 func TestCallsAtVanishedExchange(t *testing.T) {
 	t.Parallel()
 	for name, callTime := range map[string]scenario.Duration{"calls go on": seconds(12), "quiet": seconds(3)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			story := quietStory(
+			plan := minimalPlan(
 				Fault{At: seconds(1), Kind: FaultSilentDiscovery, Duration: seconds(11)},
 				Fault{At: seconds(2.9), Kind: FaultVanish, Target: 0},
 			)
-			story.CallTime = callTime
-			story.Deployment.Rate = 20 / (callTime.D().Seconds() / 3)
-			r := playStory(t, story)
+			plan.CallTime = callTime
+			plan.Deployment.Rate = 20 / (callTime.D().Seconds() / 3)
+			r := runPlan(t, plan)
 			if r.Counts.Lost < 5 {
-				t.Errorf("only %d calls stood at the exchange", r.Counts.Lost)
+				t.Errorf("only %d calls were established at the exchange, want 5 or more", r.Counts.Lost)
 			}
 			reportViolations(t, r.Violations)
 		})
 	}
 }
 
-// A partition of 6 s and an exchange that hangs for 6 s cut no call, while discovery is down, whether or not set-ups go
-// on.
+// Neither a partition of 6 s nor an exchange that hangs for 6 s ends an established call while discovery is silent,
+// whether or not new set-ups arrive.
 func TestCallsBehindPartitionStand(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []FaultKind{FaultPartition, FaultHang} {
 		for name, callTime := range map[string]scenario.Duration{"calls go on": seconds(12), "quiet": seconds(3)} {
 			t.Run(fmt.Sprint(kind, " ", name), func(t *testing.T) {
 				t.Parallel()
-				story := quietStory(
+				plan := minimalPlan(
 					Fault{At: seconds(1), Kind: FaultSilentDiscovery, Duration: seconds(11)},
 					Fault{At: seconds(2.9), Kind: kind, Target: 0, Duration: seconds(6)},
 				)
-				story.CallTime = callTime
-				story.Deployment.Rate = 20 / (callTime.D().Seconds() / 3)
-				r := playStory(t, story)
+				plan.CallTime = callTime
+				plan.Deployment.Rate = 20 / (callTime.D().Seconds() / 3)
+				r := runPlan(t, plan)
 				if r.Counts.Cut > 0 || r.Counts.Established < 20 {
-					t.Errorf("%d of %d calls were cut", r.Counts.Cut, r.Counts.Established)
+					t.Errorf("%d of %d calls were released although they were still established", r.Counts.Cut, r.Counts.Established)
 				}
 				reportViolations(t, r.Violations)
 			})
@@ -124,7 +124,7 @@
 	}
 }
 
-// Stories of all combinations, drawn from seeds, violate no rule.
+// Generated plans of all combinations violate no rule.
 func TestStories(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -132,38 +132,38 @@
 	t.Parallel()
 	const seeds = 5
 	for seed := range uint64(seeds) {
-		story := DrawStory(seed)
-		t.Run(fmt.Sprintf("seed %d, %s", seed, story.Combination), func(t *testing.T) {
+		plan := DrawStory(seed)
+		t.Run(fmt.Sprintf("seed %d, %s", seed, plan.Combination), func(t *testing.T) {
 			t.Parallel()
 			start := time.Now()
-			reportViolations(t, playStory(t, story).Violations)
+			reportViolations(t, runPlan(t, plan).Violations)
 			t.Logf("took %v", time.Since(start).Round(time.Millisecond))
 		})
 	}
 }
 
-// A seed draws the same story each time, and seeds in a row draw all combinations.
+// A seed always generates the same plan, and consecutive seeds generate all combinations.
 func TestDrawStory(t *testing.T) {
 	t.Parallel()
-	drawn := make(map[string]bool)
+	generated := make(map[string]bool)
 	for seed := range uint64(100) {
-		one, other := DrawStory(seed), DrawStory(seed)
-		if fmt.Sprintf("%+v", one) != fmt.Sprintf("%+v", other) {
-			t.Fatalf("seed %d draws two stories", seed)
+		first, second := DrawStory(seed), DrawStory(seed)
+		if fmt.Sprintf("%+v", first) != fmt.Sprintf("%+v", second) {
+			t.Fatalf("seed %d generates two different plans", seed)
 		}
-		drawn[one.Combination] = true
-		for _, f := range one.Faults {
+		generated[first.Combination] = true
+		for _, f := range first.Faults {
 			isController := f.Kind == FaultTerminate || f.Kind == FaultTerminateInReload || f.Kind == FaultKill || f.Kind == FaultReload
-			count := one.Deployment.Exchanges
+			count := first.Deployment.Exchanges
 			if isController {
-				count = one.Deployment.Controllers
+				count = first.Deployment.Controllers
 			}
 			if f.Target >= count || f.At.D() < 0 || f.At.D() > 20*time.Second || f.Kind.String() == "" {
 				t.Errorf("seed %d: %+v", seed, f)
 			}
 		}
 	}
-	if len(drawn) != len(combinations) {
-		t.Errorf("drew %d combinations of %d", len(drawn), len(combinations))
+	if len(generated) != len(combinations) {
+		t.Errorf("%d of %d combinations were generated", len(generated), len(combinations))
 	}
 }
