--- a/internal/sim/fakeetcd/lease.go
+++ b/internal/sim/fakeetcd/lease.go
@@ -130,7 +130,7 @@
 	return &pb.LeaseRevokeResponse{Header: s.header()}, nil
 }
 
-// LeaseKeepAlive implements the Lease service. While keep-alives are ignored it receives requests and sends no response.
+// LeaseKeepAlive implements the Lease service. While keep-alives are ignored it receives requests but does not respond.
 func (s *Server) LeaseKeepAlive(stream pb.Lease_LeaseKeepAliveServer) error {
 	for {
 		r, err := stream.Recv()
--- a/internal/sim/soak/callers.go
+++ b/internal/sim/soak/callers.go
@@ -273,7 +273,7 @@
 	})
 }
 
-// remove deletes an established or an open call and stops its timers. It reports false if the call is not in that state.
+// remove deletes an established or an open call and stops its timers. It reports false if the call is in another state.
 func (k *callers) remove(c *callerCall, established bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/sim/soak/controller.go
+++ b/internal/sim/soak/controller.go
@@ -295,7 +295,7 @@
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err == nil && len(descriptors) > d.Sockets {
-		c.run.monitor.reportViolation(RuleWithinLimits, c.name, "", "%s has %d open descriptors, the limit is %d", c.name,
-			len(descriptors), d.Sockets)
+		c.run.monitor.reportViolation(RuleWithinLimits, c.name, "", "%s has %d open descriptors, the limit is %d",
+			c.name, len(descriptors), d.Sockets)
 	}
 }
--- a/internal/sim/soak/exchange.go
+++ b/internal/sim/soak/exchange.go
@@ -17,9 +17,9 @@
 
 const (
 	exchangeRunning     exchangeState = iota
-	exchangePartitioned               // runs, but no data passes between it and the controllers; no connection is established
+	exchangePartitioned               // runs, but no data passes to or from controllers and no connection is established
 	exchangeHung                      // its process is stopped; connections are still established
-	exchangeVanished                  // gone without closing connections: its calls have ended, no connection is established
+	exchangeVanished                  // gone with its calls, without closing connections; no connection is established
 	exchangeCrashed                   // its process ended: its connections are reset, new ones are refused
 )
 
@@ -42,9 +42,9 @@
 	busyShare = 0.005
 	// minHold is the shortest duration of a call.
 	minHold = 300 * time.Millisecond
-	// releaseNotifyLimit is the time in which a controller must notify a caller of a release that the exchange has sent.
+	// releaseNotifyLimit is how long a controller may take to notify a caller of a release that the exchange sent.
 	releaseNotifyLimit = time.Second
-	// lossNotifyLimit is the time in which it must do so if no release could be sent.
+	// lossNotifyLimit is how long it may take if no release could be sent.
 	lossNotifyLimit = 8 * time.Second
 )
 
@@ -270,8 +270,8 @@
 	x.unconfirmed = nil
 }
 
-// suspendAttempts records that open attempts have ended. Their cancels cannot be observed now, because the exchange reads
-// them only when it can be reached again.
+// suspendAttempts records that open attempts have ended. Their cancels cannot be observed now, because the exchange
+// reads them only when it can be reached again.
 func (x *exchange) suspendAttempts() {
 	for _, c := range x.calls {
 		if !c.isEstablished {
--- a/internal/sim/soak/exchange_call.go
+++ b/internal/sim/soak/exchange_call.go
@@ -118,8 +118,8 @@
 }
 
 // release sends the release of a call that has ended. Its controller has a second from the time at which the release is
-// written, and the longer limit if the release cannot be sent. A release that is queued when the process stops counts as
-// not sent.
+// written, and the longer limit if the release cannot be sent. A release that is queued when the process stops has not
+// been sent.
 func (x *exchange) release(c *exchangeCall, wasStopped bool) {
 	x.recordEnd(c, lossNotifyLimit)
 	conn := x.connFor(c)
--- a/internal/sim/soak/monitor.go
+++ b/internal/sim/soak/monitor.go
@@ -12,9 +12,9 @@
 
 // Rules of a run in addition to those of internal/sim/invariant.
 const (
-	RulePassedUnchanged invariant.Rule = "passed_unchanged" // exchanges receive set-ups unchanged, and only those of callers
+	RulePassedUnchanged invariant.Rule = "passed_unchanged" // exchanges receive set-ups unchanged and from callers only
 	RuleAnswerGenuine   invariant.Rule = "answer_genuine"   // an established call has the description of its exchange
-	RuleAnswerLost      invariant.Rule = "answer_lost"      // a controller closes no connection on which an answer is due
+	RuleAnswerLost      invariant.Rule = "answer_lost"      // no connection is closed while answers on it are due
 	RuleNoCrash         invariant.Rule = "no_crash"         // no process ends unexpectedly
 	RuleStarts          invariant.Rule = "starts"           // a started process accepts connections within startTimeout
 	RuleStops           invariant.Rule = "stops"            // a process exits with code 0 after SIGTERM
@@ -102,7 +102,8 @@
 	s, isKnown := mon.setups[m.CallID]
 	switch {
 	case !isKnown:
-		mon.reportViolationLocked(RulePassedUnchanged, "", m.CallID, "%s received a set-up that no caller sent", exchangeID)
+		mon.reportViolationLocked(RulePassedUnchanged, "", m.CallID, "%s received a set-up that no caller sent",
+			exchangeID)
 	case s.class != m.Header("X-Cos") || s.number != m.User() || !bytes.Equal(s.description, m.Body):
 		mon.reportViolationLocked(RulePassedUnchanged, s.controller, m.CallID, "%s received class %q, number %q, %q",
 			exchangeID, m.Header("X-Cos"), m.User(), m.Body)
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -58,8 +58,8 @@
 	generation int
 }
 
-// Play runs a plan and returns when all processes and servers have ended. An error is one of the test harness; violations
-// by the program are in the Result.
+// Play runs a plan and returns when all processes and servers have ended. An error is one of the test harness;
+// violations by the program are in the Result.
 func Play(o Options, plan *Story) (*Result, error) {
 	r, err := newRun(o, plan)
 	if err != nil {
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// minimalPlan returns a plan with one controller, two exchanges and the given faults. Calls are released by their callers
-// or last longer than the run.
+// minimalPlan returns a plan with one controller, two exchanges and the given faults. Calls are released by their
+// callers or last longer than the run.
 func minimalPlan(faults ...Fault) *Story {
 	return &Story{
 		Seed:        1,
