--- a/internal/sim/fakeetcd/server.go
+++ b/internal/sim/fakeetcd/server.go
@@ -1,6 +1,7 @@
 // Package fakeetcd is an in-memory etcd server for tests, written from etcd's published API. It serves the KV, Lease
 // and Watch services with a bounded history over gRPC on loopback. It is a single member without replication, and
-// stores nothing on disk. Tests inject faults: stalled watches, lost responses, a missing leader, a restore from a backup.
+// stores nothing on disk. Tests inject faults: stalled watches, lost responses, a missing leader, a restore from a
+// backup.
 package fakeetcd
 
 import (
--- a/internal/sim/soak/bad_client.go
+++ b/internal/sim/soak/bad_client.go
@@ -71,7 +71,7 @@
 	isSameProcess := generation == k.generation
 	k.mu.Unlock()
 	if isSameProcess {
-		k.run.monitor.reportViolation(RuleBadClient, k.controller.name, "", 
+		k.run.monitor.reportViolation(RuleBadClient, k.controller.name, "",
 			"neither an answer nor a close within %v of %s", badClientLimit, fmt.Sprintf("%.40q", input))
 	}
 }
