--- a/internal/sim/invariant/checkcall.go
+++ b/internal/sim/invariant/checkcall.go
@@ -27,7 +27,7 @@
 		if call.attempt.isOpen(e) {
 			call.attempt.openAt = ""
 		}
-	case CallEnded, CallerNotified, CallerReleased, CallStanding:
+	case CallEnded, CallerNotified, CallerReleased, CallStillEstablished:
 		c.checkReleaseEvent(e, call)
 	case ServerUpdated, ControllerEnded, ServerCrashed, ControllerPaused: // not events of a call, see Checker.Record
 	}
--- a/internal/sim/invariant/checker.go
+++ b/internal/sim/invariant/checker.go
@@ -101,7 +101,7 @@
 	case ControllerEnded:
 		c.forgetController(e.Controller)
 	case CallOffered, CallEstablished, CallRejected, CallAbandoned, AttemptSent, AttemptCanceled, AttemptUnsent,
-		AttemptAnswered, AttemptRejected, AttemptBroken, CallEnded, CallerNotified, CallerReleased, CallStanding:
+		AttemptAnswered, AttemptRejected, AttemptBroken, CallEnded, CallerNotified, CallerReleased, CallStillEstablished:
 		c.checkCallEvent(e)
 	}
 }
--- a/internal/sim/invariant/checker_test.go
+++ b/internal/sim/invariant/checker_test.go
@@ -187,21 +187,21 @@
 			setUp, established, {Kind: CallRejected, Call: "other", At: 40 * time.Second},
 			endedAt(60*time.Second, 61*time.Second),
 		}},
-		"still established for its caller": {"", []Event{setUp, established, {Kind: CallStanding, At: 20 * time.Second}}},
+		"still established for its caller": {"", []Event{setUp, established, {Kind: CallStillEstablished, At: 20 * time.Second}}},
 		"still established, ended just now for its caller": {"", []Event{
-			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStanding, At: 9 * time.Second},
+			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStillEstablished, At: 9 * time.Second},
 		}},
-		"left established": {NoneStanding, []Event{
-			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStanding, At: 9*time.Second + ms},
+		"left established": {NoOrphanedCall, []Event{
+			setUp, established, {Kind: CallerReleased, At: time.Second}, {Kind: CallStillEstablished, At: 9*time.Second + ms},
 		}},
-		"left established after an abandoned set-up": {NoneStanding, []Event{
-			setUp, {Kind: CallAbandoned, At: time.Second}, {Kind: CallStanding, At: 9*time.Second + ms},
+		"left established after an abandoned set-up": {NoOrphanedCall, []Event{
+			setUp, {Kind: CallAbandoned, At: time.Second}, {Kind: CallStillEstablished, At: 9*time.Second + ms},
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := DefaultLimits()
-			limits.JudgeReleases = true
-			limits.Standing = 8 * time.Second
+			limits.CheckReleases = true
+			limits.MaxOrphanTime = 8 * time.Second
 			c := checkWith(limits, test.events...)
 			for _, r := range ReleaseRules {
 				if n := c.Count(r); (n > 0) != (r == test.want) {
@@ -209,7 +209,7 @@
 				}
 			}
 			if check(test.events...).Count(ReleasedInTime) > 0 {
-				t.Error("ReleasedInTime was checked without Limits.JudgeReleases")
+				t.Error("ReleasedInTime was checked without Limits.CheckReleases")
 			}
 		})
 	}
--- a/internal/sim/invariant/checkrelease.go
+++ b/internal/sim/invariant/checkrelease.go
@@ -2,7 +2,7 @@
 
 // recordEstablished records that a call is established. It may have ended before its caller got the answer.
 func (c *Checker) recordEstablished(e Event, call *callState) {
-	if e.Kind != CallEstablished || !c.limits.JudgeReleases {
+	if e.Kind != CallEstablished || !c.limits.CheckReleases {
 		return
 	}
 	call.release.isEstablished = true
@@ -13,7 +13,7 @@
 // checkReleaseEvent checks an event of an established call.
 func (c *Checker) checkReleaseEvent(e Event, call *callState) {
 	r := &call.release
-	if !c.limits.JudgeReleases {
+	if !c.limits.CheckReleases {
 		return
 	}
 	switch e.Kind {
@@ -30,7 +30,7 @@
 		if !r.isOver {
 			r.isOver, r.overAt = true, e.At
 		}
-	case CallStanding:
+	case CallStillEstablished:
 		c.checkOrphan(e, call)
 	default: // not an event of an established call
 	}
@@ -69,13 +69,13 @@
 		overAt = call.release.overAt
 	}
 	isOver := call.release.isOver || call.answer.isOver && !call.release.isEstablished
-	if isOver && e.At-overAt > c.limits.Standing+c.limits.Slack {
-		c.report(NoneStanding, e, call, "%s is still established at %s but ended for its caller at %.3f s",
+	if isOver && e.At-overAt > c.limits.MaxOrphanTime+c.limits.Slack {
+		c.report(NoOrphanedCall, e, call, "%s is still established at %s but ended for its caller at %.3f s",
 			e.Call, e.Server, overAt.Seconds())
 	}
 }
 
 // retainsForRelease reports whether the state of a call must be kept because it is still established.
 func (c *Checker) retainsForRelease(call *callState) bool {
-	return c.limits.JudgeReleases && call.release.isEstablished && !call.release.isOver
+	return c.limits.CheckReleases && call.release.isEstablished && !call.release.isOver
 }
--- a/internal/sim/invariant/event.go
+++ b/internal/sim/invariant/event.go
@@ -14,24 +14,24 @@
 
 // Kinds of events at a call controller.
 const (
-	CallOffered      Kind = iota // a call is offered; Event.Deadline is the time at which its caller abandons it
-	CallEstablished              // final answer: the call is established
-	CallRejected                 // final answer: the call is rejected or has failed
-	CallAbandoned                // the caller abandons the call, or its connection is lost; no final answer is due
-	AttemptSent                  // an attempt is sent to Event.Server
-	AttemptCanceled              // the attempt is canceled
-	AttemptUnsent                // the attempt is canceled before it was written to the connection
-	AttemptAnswered              // the server answers the attempt
-	AttemptRejected              // the attempt ended and certainly did not run
-	AttemptBroken                // the attempt ended with its connection and may have run
-	ServerUpdated                // an endpoint update: Event.Server drains or is removed (Event.IsSet), or is active
-	ControllerEnded              // the controller ended; its calls need no final answer
-	ServerCrashed                // Event.Server crashed by overload during its slow start
-	ControllerPaused             // the controller's process is stopped (Event.IsSet) or continues
-	CallEnded                    // an established call ended at Event.Server; notify its caller by Event.Deadline
-	CallerNotified               // the caller was notified of the release of an established call
-	CallerReleased               // the caller released an established call
-	CallStanding                 // the call is still established at Event.Server at the end of a run
+	CallOffered          Kind = iota // a call is offered; Event.Deadline is the time at which its caller abandons it
+	CallEstablished                  // final answer: the call is established
+	CallRejected                     // final answer: the call is rejected or has failed
+	CallAbandoned                    // the caller abandons the call, or its connection is lost; no final answer is due
+	AttemptSent                      // an attempt is sent to Event.Server
+	AttemptCanceled                  // the attempt is canceled
+	AttemptUnsent                    // the attempt is canceled before it was written to the connection
+	AttemptAnswered                  // the server answers the attempt
+	AttemptRejected                  // the attempt ended and certainly did not run
+	AttemptBroken                    // the attempt ended with its connection and may have run
+	ServerUpdated                    // an endpoint update: Event.Server drains or is removed (Event.IsSet), or is active
+	ControllerEnded                  // the controller ended; its calls need no final answer
+	ServerCrashed                    // Event.Server crashed by overload during its slow start
+	ControllerPaused                 // the controller's process is stopped (Event.IsSet) or continues
+	CallEnded                        // an established call ended at Event.Server; notify its caller by Event.Deadline
+	CallerNotified                   // the caller was notified of the release of an established call
+	CallerReleased                   // the caller released an established call
+	CallStillEstablished             // the call is still established at Event.Server at the end of a run
 )
 
 // String returns the name of the kind as it appears in logs.
--- a/internal/sim/invariant/rule.go
+++ b/internal/sim/invariant/rule.go
@@ -18,14 +18,14 @@
 	RetryGuardRespected Rule = "release_kept" // no attempt within Limits.RetryGuard of a timeout, reset or cancel
 )
 
-// The rules on established calls. They are checked with Limits.JudgeReleases only.
+// The rules on established calls. They are checked with Limits.CheckReleases only.
 const (
 	ReleasedInTime Rule = "released_in_time" // the caller of an ended call is notified by the deadline of CallEnded
-	NoneStanding   Rule = "none_standing"    // no exchange keeps a call established that ended for its caller
+	NoOrphanedCall Rule = "none_standing"    // no exchange keeps a call established that ended for its caller
 )
 
 // ReleaseRules lists the rules on established calls.
-var ReleaseRules = []Rule{ReleasedInTime, NoneStanding}
+var ReleaseRules = []Rule{ReleasedInTime, NoOrphanedCall}
 
 // Rules lists the rules that are always checked.
 var Rules = []Rule{OneAnswer, InTime, OneAttempt, DrainRespected, SlowStartRespected, RetryGuardRespected}
@@ -38,11 +38,11 @@
 	// AbandonGrace is how long an attempt of a call may still arrive at a server after its caller abandoned the call.
 	// Where callers and servers are observed at their own ends, these messages cross.
 	AbandonGrace time.Duration
-	// JudgeReleases enables ReleaseRules. The events must then include the ends of all established calls; the checker
+	// CheckReleases enables ReleaseRules. The events must then include the ends of all established calls; the checker
 	// never drops the state of a call without one.
-	JudgeReleases bool
-	// Standing is how long an exchange may keep a call established after it ended for its caller.
-	Standing time.Duration
+	CheckReleases bool
+	// MaxOrphanTime is how long an exchange may keep a call established after it ended for its caller.
+	MaxOrphanTime time.Duration
 }
 
 // DefaultLimits returns the limits that the operators require.
--- a/internal/sim/soak/exchange.go
+++ b/internal/sim/soak/exchange.go
@@ -17,7 +17,7 @@
 
 const (
 	exchangeRunning     exchangeState = iota
-	exchangePartitioned               // runs, but no data passes to or from controllers and no connection is established
+	exchangePartitioned               // runs, but no data passes to or from controllers; no connection is established
 	exchangeHung                      // its process is stopped; connections are still established
 	exchangeVanished                  // gone with its calls, without closing connections; no connection is established
 	exchangeCrashed                   // its process ended: its connections are reset, new ones are refused
@@ -312,7 +312,7 @@
 	defer x.mu.Unlock()
 	for _, c := range x.calls {
 		if c.isEstablished {
-			x.record(invariant.CallStanding, c)
+			x.record(invariant.CallStillEstablished, c)
 		}
 	}
 }
--- a/internal/sim/soak/monitor.go
+++ b/internal/sim/soak/monitor.go
@@ -80,8 +80,8 @@
 	limits := invariant.DefaultLimits()
 	limits.Slack = clockSlack
 	limits.AbandonGrace = abandonGrace
-	limits.Standing = maxOrphanTime
-	limits.JudgeReleases = true
+	limits.MaxOrphanTime = maxOrphanTime
+	limits.CheckReleases = true
 	return &monitor{
 		startTime: startTime, checker: invariant.New(limits), setups: make(map[string]setup),
 		overAt: make(map[string]invariant.Time),
