--- a/internal/sim/soak/callers.go
+++ b/internal/sim/soak/callers.go
@@ -82,7 +82,7 @@
 		calls:         make(map[string]*callerCall),
 		rateFactor:    1,
 		slowWriters:   plan.Callers.SlowWriters,
-		earlyAbandons: plan.Callers.EarlyLeavers,
+		earlyAbandons: plan.Callers.EarlyAbandons,
 		closesAtOnce:  plan.Callers.ClosesAtOnce,
 	}
 }
--- a/internal/sim/soak/generate.go
+++ b/internal/sim/soak/generate.go
@@ -34,7 +34,7 @@
 	d.deployment()
 	combination.generate(d)
 	if d.rng.Float64() < surgeShare {
-		d.add(FaultCrowd, d.randomBetween(1, 7), 0, d.randomBetween(0.5, 2))
+		d.add(FaultLoadSurge, d.randomBetween(1, 7), 0, d.randomBetween(0.5, 2))
 	}
 	return d.plan
 }
@@ -53,7 +53,7 @@
 		MemoryMB:    memories[d.rng.IntN(len(memories))],
 		Sockets:     sockets[d.rng.IntN(len(sockets))],
 	}
-	d.plan.Callers = CallerHabits{SlowWriters: 0.03, EarlyLeavers: 0.03, ClosesAtOnce: 0.02}
+	d.plan.Callers = CallerBehavior{SlowWriters: 0.03, EarlyAbandons: 0.03, ClosesAtOnce: 0.02}
 }
 
 // randomBetween returns a random number in a range.
@@ -114,9 +114,9 @@
 
 // badClients adds bad clients, malformed answers and callers that abandon their calls early.
 func (d *generator) badClients() {
-	d.plan.Callers = CallerHabits{SlowWriters: 0.1, EarlyLeavers: 0.25, ClosesAtOnce: 0.1, AreBad: true}
+	d.plan.Callers = CallerBehavior{SlowWriters: 0.1, EarlyAbandons: 0.25, ClosesAtOnce: 0.1, HasBadClients: true}
 	for range 2 {
-		d.add(FaultSpoil, d.randomBetween(0.5, 5), d.randomExchange(), d.randomBetween(1, 4))
+		d.add(FaultMalformedAnswers, d.randomBetween(0.5, 5), d.randomExchange(), d.randomBetween(1, 4))
 	}
 	d.addExchangeFault(d.randomBetween(1, 6), FaultReset, FaultHang, FaultVanish)
 	d.add(FaultTerminate, d.randomBetween(2, 6), d.randomController(), 0)
@@ -136,9 +136,9 @@
 
 // pieces adds messages in chunks, slow writers, and input that arrives while a connection is being closed.
 func (d *generator) pieces() {
-	d.plan.Callers = CallerHabits{SlowWriters: 0.5, EarlyLeavers: 0.1, ClosesAtOnce: 0.2}
+	d.plan.Callers = CallerBehavior{SlowWriters: 0.5, EarlyAbandons: 0.1, ClosesAtOnce: 0.2}
 	for range 4 {
-		d.addExchangeFault(d.randomBetween(0.5, 8), FaultReset, FaultSpoil, FaultLateConnections)
+		d.addExchangeFault(d.randomBetween(0.5, 8), FaultReset, FaultMalformedAnswers, FaultLateConnections)
 	}
 	d.addExchangeFault(d.randomBetween(1, 6), FaultVanish, FaultPartition)
 	d.add(FaultTerminate, d.randomBetween(2, 6), d.randomController(), 0)
--- a/internal/sim/soak/inject.go
+++ b/internal/sim/soak/inject.go
@@ -26,7 +26,7 @@
 		r.directory.setSilent(true)
 		time.Sleep(duration)
 		r.directory.setSilent(false)
-	case FaultCrowd:
+	case FaultLoadSurge:
 		for _, c := range r.controllers {
 			c.callers.setRateFactor(surgeFactor)
 		}
@@ -75,7 +75,7 @@
 	switch f.Kind {
 	case FaultReset:
 		x.resetConns()
-	case FaultSpoil:
+	case FaultMalformedAnswers:
 		x.setMalformedShare(malformedShare)
 		time.Sleep(duration)
 		x.setMalformedShare(0)
--- a/internal/sim/soak/plan.go
+++ b/internal/sim/soak/plan.go
@@ -27,8 +27,8 @@
 	FaultReset
 	// FaultLateConnections leaves new connections to an exchange unanswered for Duration.
 	FaultLateConnections
-	// FaultSpoil makes a share of an exchange's answers malformed for Duration.
-	FaultSpoil
+	// FaultMalformedAnswers makes a share of an exchange's answers malformed for Duration.
+	FaultMalformedAnswers
 	// FaultSilentDiscovery makes discovery ignore all queries for Duration.
 	FaultSilentDiscovery
 	// FaultReload moves the name service of a controller several times in quick succession, each time with a reload.
@@ -39,15 +39,15 @@
 	FaultTerminateInReload
 	// FaultKill sends SIGKILL to a controller and restarts it at once.
 	FaultKill
-	// FaultCrowd multiplies the call rate at all controllers for Duration.
-	FaultCrowd
+	// FaultLoadSurge multiplies the call rate at all controllers for Duration.
+	FaultLoadSurge
 )
 
 var faultNames = map[FaultKind]string{
 	FaultVanish: "vanish", FaultPartition: "partition", FaultHang: "hang", FaultCrash: "crash",
-	FaultReplace: "replace", FaultReset: "reset", FaultLateConnections: "late_connections", FaultSpoil: "spoil",
+	FaultReplace: "replace", FaultReset: "reset", FaultLateConnections: "late_connections", FaultMalformedAnswers: "spoil",
 	FaultSilentDiscovery: "silent_discovery", FaultReload: "reload", FaultTerminate: "terminate",
-	FaultTerminateInReload: "terminate_in_reload", FaultKill: "kill", FaultCrowd: "crowd",
+	FaultTerminateInReload: "terminate_in_reload", FaultKill: "kill", FaultLoadSurge: "crowd",
 }
 
 // String returns the kind's name.
@@ -81,12 +81,12 @@
 	Sockets     int               `json:"sockets"`
 }
 
-// CallerHabits are the shares of callers with difficult behavior.
-type CallerHabits struct {
-	SlowWriters  float64 `json:"slow_writers"`  // write their set-up in chunks
-	EarlyLeavers float64 `json:"early_leavers"` // abandon their call before its deadline
-	ClosesAtOnce float64 `json:"closes_at_once"`
-	AreBad       bool    `json:"bad"` // bad clients connect too
+// CallerBehavior are the shares of callers with difficult behavior.
+type CallerBehavior struct {
+	SlowWriters   float64 `json:"slow_writers"`  // write their set-up in chunks
+	EarlyAbandons float64 `json:"early_leavers"` // abandon their call before its deadline
+	ClosesAtOnce  float64 `json:"closes_at_once"`
+	HasBadClients bool    `json:"bad"` // bad clients connect too
 }
 
 // A Story is the plan of a run.
@@ -94,7 +94,7 @@
 	Seed        uint64            `json:"seed"`
 	Combination string            `json:"combination"`
 	Deployment  Deployment        `json:"deployment"`
-	Callers     CallerHabits      `json:"callers"`
+	Callers     CallerBehavior    `json:"callers"`
 	CallTime    scenario.Duration `json:"call_time"` // how long calls are generated
 	Faults      []Fault           `json:"faults"`
 }
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -176,7 +176,7 @@
 	start := time.Now()
 	for _, c := range r.controllers {
 		running.Go(func() { c.callers.generate(r.done) })
-		if r.plan.Callers.AreBad {
+		if r.plan.Callers.HasBadClients {
 			running.Go(func() { c.callers.runBadClients(r.done, r.plan.Seed) })
 		}
 	}
