--- a/internal/sim/soak/callers.go
+++ b/internal/sim/soak/callers.go
@@ -38,7 +38,7 @@
 
 // callers are the callers of one controller. The release of a call may arrive on any of their connections.
 type callers struct {
-	run        *Run
+	run        *runner
 	controller *controller
 	rate       float64 // calls a second
 
@@ -71,7 +71,7 @@
 	timers        []*time.Timer
 }
 
-func newCallers(run *Run, c *controller, seed uint64) *callers {
+func newCallers(run *runner, c *controller, seed uint64) *callers {
 	plan := run.plan
 	return &callers{
 		run:           run,
--- a/internal/sim/soak/controller.go
+++ b/internal/sim/soak/controller.go
@@ -34,7 +34,7 @@
 
 // A controller is the process of a call controller, with its name service and its callers.
 type controller struct {
-	run     *Run
+	run     *runner
 	name    string
 	number  int
 	listen  string
--- a/internal/sim/soak/inject.go
+++ b/internal/sim/soak/inject.go
@@ -18,7 +18,7 @@
 )
 
 // inject injects a fault and ends it after its duration.
-func (r *Run) inject(f Fault) {
+func (r *runner) inject(f Fault) {
 	r.logf("-> %v", f)
 	duration := f.Duration.D()
 	switch f.Kind {
@@ -42,7 +42,7 @@
 }
 
 // injectControllerFault injects a fault into a controller, unless another fault in it is under way.
-func (r *Run) injectControllerFault(f Fault) {
+func (r *runner) injectControllerFault(f Fault) {
 	c := r.controllers[f.Target]
 	if !c.reserve() {
 		return
@@ -69,7 +69,7 @@
 }
 
 // injectExchangeFault injects a fault into an exchange, unless another one has changed its state.
-func (r *Run) injectExchangeFault(f Fault) {
+func (r *runner) injectExchangeFault(f Fault) {
 	x := r.exchange(f.Target)
 	duration := f.Duration.D()
 	switch f.Kind {
@@ -97,7 +97,7 @@
 
 // changeState changes the state of a running exchange for a duration. With 0 the change is permanent, and discovery
 // removes the exchange after removalDelay.
-func (r *Run) changeState(x *exchange, s exchangeState, duration time.Duration) {
+func (r *runner) changeState(x *exchange, s exchangeState, duration time.Duration) {
 	if !x.leaveRunning(s) {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // replace starts the successor of an exchange, which drains for a duration and then ends.
-func (r *Run) replace(slot int, x *exchange, duration time.Duration) {
+func (r *runner) replace(slot int, x *exchange, duration time.Duration) {
 	if !r.beginReplacement(slot, x) {
 		return
 	}
@@ -132,7 +132,7 @@
 
 // beginReplacement starts the successor of an exchange. It reports false if the exchange is not running or has already
 // been replaced.
-func (r *Run) beginReplacement(slot int, x *exchange) bool {
+func (r *runner) beginReplacement(slot int, x *exchange) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exchanges[slot] != x || !x.isRunning() {
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -38,8 +38,8 @@
 	Violations []*invariant.Violation `json:"violations"`
 }
 
-// A Run is a run in progress.
-type Run struct {
+// A runner executes a plan.
+type runner struct {
 	options     Options
 	plan        *Story
 	startTime   time.Time
@@ -75,7 +75,7 @@
 	return &Result{Story: plan, Counts: counts, Violations: violations}, nil
 }
 
-func newRun(o Options, plan *Story) (*Run, error) {
+func newRun(o Options, plan *Story) (*runner, error) {
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("soak: %w", err)
 	}
 	now := time.Now()
-	r := &Run{
+	r := &runner{
 		options: o, plan: plan, startTime: now, monitor: newMonitor(now), done: make(chan struct{}),
 		trace: newMessageTrace(traceFile, now), traceFile: traceFile,
 	}
@@ -109,7 +109,7 @@
 }
 
 // start starts the exchanges and the controllers.
-func (r *Run) start() error {
+func (r *runner) start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for slot := range r.plan.Deployment.Exchanges {
@@ -130,8 +130,8 @@
 	return errors.Join(errs...)
 }
 
-// newExchange starts an exchange. Run.mu is held.
-func (r *Run) newExchange(id string, slot int) (*exchange, error) {
+// newExchange starts an exchange. runner.mu is held.
+func (r *runner) newExchange(id string, slot int) (*exchange, error) {
 	var names []string
 	for _, c := range r.controllers {
 		names = append(names, c.name)
@@ -147,14 +147,14 @@
 }
 
 // exchange returns the current exchange of a slot.
-func (r *Run) exchange(slot int) *exchange {
+func (r *runner) exchange(slot int) *exchange {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.exchanges[slot]
 }
 
 // isEstablishedAt reports whether a call is established at an exchange.
-func (r *Run) isEstablishedAt(id, server string) bool {
+func (r *runner) isEstablishedAt(id, server string) bool {
 	r.mu.Lock()
 	all := r.all
 	r.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // play generates calls, injects the faults, and waits until the time limits of all rules have passed.
-func (r *Run) play() {
+func (r *runner) play() {
 	var running sync.WaitGroup
 	start := time.Now()
 	for _, c := range r.controllers {
@@ -193,14 +193,14 @@
 }
 
 // logError logs an error of the test harness.
-func (r *Run) logError(err error) {
+func (r *runner) logError(err error) {
 	if err != nil {
 		r.logf("harness: %v", err)
 	}
 }
 
 // checkEnd checks the state at the end of a run: processes, limits, established calls, and the exit after SIGTERM.
-func (r *Run) checkEnd() {
+func (r *runner) checkEnd() {
 	for _, c := range r.controllers {
 		c.checkRunning()
 		c.checkLimits()
@@ -225,7 +225,7 @@
 }
 
 // stop ends all processes, exchanges and name services.
-func (r *Run) stop() {
+func (r *runner) stop() {
 	for _, c := range r.controllers {
 		c.mu.Lock()
 		process, exited := c.process, c.exited
@@ -251,7 +251,7 @@
 }
 
 // logf writes a line of progress, with the time since the start of the run.
-func (r *Run) logf(format string, args ...any) {
+func (r *runner) logf(format string, args ...any) {
 	r.outMu.Lock()
 	defer r.outMu.Unlock()
 	_, _ = fmt.Fprintf(r.options.Out, "%6.2fs  %s\n", time.Since(r.startTime).Seconds(), fmt.Sprintf(format, args...))
