--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	defer func() { _ = course.Close() }()
-	result, err := soak.Play(soak.Options{Program: s.program, Dir: dir, Out: course}, story)
+	result, err := soak.Run(soak.Options{Program: s.program, Dir: dir, Out: course}, story)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -58,9 +58,9 @@
 	generation int
 }
 
-// Play runs a plan and returns when all processes and servers have ended. An error is one of the test harness;
+// Run runs a plan and returns when all processes and servers have ended. An error is one of the test harness;
 // violations by the program are in the Result.
-func Play(o Options, plan *Story) (*Result, error) {
+func Run(o Options, plan *Story) (*Result, error) {
 	r, err := newRun(o, plan)
 	if err != nil {
 		return nil, err
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Play(Options{Program: path, Dir: t.TempDir(), Out: t.Output()}, plan)
+	r, err := Run(Options{Program: path, Dir: t.TempDir(), Out: t.Output()}, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
