--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -140,7 +140,7 @@
 	s.add(seed, result)
 }
 
-func (s *soakSeries) playStory(dir string, story *soak.Story) (*soak.Result, error) {
+func (s *soakSeries) playStory(dir string, story *soak.Plan) (*soak.Result, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/sim/soak/generate.go
+++ b/internal/sim/soak/generate.go
@@ -23,12 +23,12 @@
 // A generator generates one plan.
 type generator struct {
 	rng  *rand.Rand
-	plan *Story
+	plan *Plan
 }
 
 // DrawStory generates the plan of a seed. Consecutive seeds select the combinations in turn.
-func DrawStory(seed uint64) *Story {
-	d := &generator{rng: rand.New(rand.NewPCG(seed, planStream)), plan: &Story{Seed: seed, CallTime: seconds(10)}}
+func DrawStory(seed uint64) *Plan {
+	d := &generator{rng: rand.New(rand.NewPCG(seed, planStream)), plan: &Plan{Seed: seed, CallTime: seconds(10)}}
 	combination := combinations[seed%uint64(len(combinations))]
 	d.plan.Combination = combination.name
 	d.deployment()
--- a/internal/sim/soak/plan.go
+++ b/internal/sim/soak/plan.go
@@ -89,8 +89,8 @@
 	HasBadClients bool    `json:"bad"` // bad clients connect too
 }
 
-// A Story is the plan of a run.
-type Story struct {
+// A Plan is the deployment, the behavior of callers and the faults of a run.
+type Plan struct {
 	Seed        uint64            `json:"seed"`
 	Combination string            `json:"combination"`
 	Deployment  Deployment        `json:"deployment"`
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -33,7 +33,7 @@
 
 // A Result is the result of a run.
 type Result struct {
-	Story      *Story                 `json:"story"`
+	Story      *Plan                  `json:"story"`
 	Counts     Counts                 `json:"counts"`
 	Violations []*invariant.Violation `json:"violations"`
 }
@@ -41,7 +41,7 @@
 // A runner executes a plan.
 type runner struct {
 	options     Options
-	plan        *Story
+	plan        *Plan
 	startTime   time.Time
 	monitor     *monitor
 	directory   *directory
@@ -60,7 +60,7 @@
 
 // Run runs a plan and returns when all processes and servers have ended. An error is one of the test harness;
 // violations by the program are in the Result.
-func Run(o Options, plan *Story) (*Result, error) {
+func Run(o Options, plan *Plan) (*Result, error) {
 	r, err := newRun(o, plan)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return &Result{Story: plan, Counts: counts, Violations: violations}, nil
 }
 
-func newRun(o Options, plan *Story) (*runner, error) {
+func newRun(o Options, plan *Plan) (*runner, error) {
 	if o.Out == nil {
 		o.Out = io.Discard
 	}
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -38,7 +38,7 @@
 }
 
 // runPlan runs a plan and writes its progress to the log of the test.
-func runPlan(t *testing.T, plan *Story) *Result {
+func runPlan(t *testing.T, plan *Plan) *Result {
 	t.Helper()
 	path, err := program()
 	if err != nil {
@@ -65,8 +65,8 @@
 
 // minimalPlan returns a plan with one controller, two exchanges and the given faults. Calls are released by their
 // callers or last longer than the run.
-func minimalPlan(faults ...Fault) *Story {
-	return &Story{
+func minimalPlan(faults ...Fault) *Plan {
+	return &Plan{
 		Seed:        1,
 		Combination: "test",
 		Deployment: Deployment{
