--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -165,7 +165,7 @@
 	out := s.command.OutOrStdout()
 	n := &r.Counts
 	_, _ = fmt.Fprintf(out, "seed %d, %s: %d calls, %d established, %d lost at their exchange, %d cut, %d violations\n",
-		seed, r.Story.Combination, n.Offered, n.Established, n.Lost, n.Cut, len(r.Violations))
+		seed, r.Plan.Combination, n.Offered, n.Established, n.Lost, n.Cut, len(r.Violations))
 	s.counts.Add(&r.Counts)
 	if len(r.Violations) == 0 {
 		return
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -33,7 +33,7 @@
 
 // A Result is the result of a run.
 type Result struct {
-	Story      *Plan                  `json:"story"`
+	Plan       *Plan                  `json:"story"`
 	Counts     Counts                 `json:"counts"`
 	Violations []*invariant.Violation `json:"violations"`
 }
@@ -72,7 +72,7 @@
 	r.play()
 	r.checkEnd()
 	violations, counts := r.monitor.finish()
-	return &Result{Story: plan, Counts: counts, Violations: violations}, nil
+	return &Result{Plan: plan, Counts: counts, Violations: violations}, nil
 }
 
 func newRun(o Options, plan *Plan) (*runner, error) {
