--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -129,7 +129,7 @@
 // playSeed plays a trial, and leaves its result beside its logs.
 func (s *soakSeries) playSeed(seed uint64) {
 	dir := filepath.Join(s.dir, "seed-"+strconv.FormatUint(seed, 10))
-	result, err := s.playStory(dir, soak.DrawStory(seed))
+	result, err := s.playStory(dir, soak.GeneratePlan(seed))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.played++
--- a/internal/sim/soak/generate.go
+++ b/internal/sim/soak/generate.go
@@ -26,8 +26,8 @@
 	plan *Plan
 }
 
-// DrawStory generates the plan of a seed. Consecutive seeds select the combinations in turn.
-func DrawStory(seed uint64) *Plan {
+// GeneratePlan generates the plan of a seed. Consecutive seeds select the combinations in turn.
+func GeneratePlan(seed uint64) *Plan {
 	d := &generator{rng: rand.New(rand.NewPCG(seed, planStream)), plan: &Plan{Seed: seed, CallTime: seconds(10)}}
 	combination := combinations[seed%uint64(len(combinations))]
 	d.plan.Combination = combination.name
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -132,7 +132,7 @@
 	t.Parallel()
 	const seeds = 5
 	for seed := range uint64(seeds) {
-		plan := DrawStory(seed)
+		plan := GeneratePlan(seed)
 		t.Run(fmt.Sprintf("seed %d, %s", seed, plan.Combination), func(t *testing.T) {
 			t.Parallel()
 			start := time.Now()
@@ -147,7 +147,7 @@
 	t.Parallel()
 	generated := make(map[string]bool)
 	for seed := range uint64(100) {
-		first, second := DrawStory(seed), DrawStory(seed)
+		first, second := GeneratePlan(seed), GeneratePlan(seed)
 		if fmt.Sprintf("%+v", first) != fmt.Sprintf("%+v", second) {
 			t.Fatalf("seed %d generates two different plans", seed)
 		}
