--- a/internal/sim/exchange/signaling.go
+++ b/internal/sim/exchange/signaling.go
@@ -30,8 +30,8 @@
 	x.startNextJob(now)
 }
 
-// InviteRejected handles a set-up by rejecting it regardless of the load, which costs the work of a rejection.
-func (x *Exchange) InviteRejected(now Time, from string, a Attempt) {
+// RejectInvite handles a set-up by rejecting it regardless of the load, which costs the work of a rejection.
+func (x *Exchange) RejectInvite(now Time, from string, a Attempt) {
 	if x.state != Running {
 		return
 	}
--- a/internal/sim/sabourin/simulate.go
+++ b/internal/sim/sabourin/simulate.go
@@ -98,7 +98,7 @@
 	attempt := exchange.Attempt{Number: s.offered}
 	s.offered++
 	if !s.control.admit(k) {
-		s.processor.InviteRejected(s.now, "", attempt)
+		s.processor.RejectInvite(s.now, "", attempt)
 		return
 	}
 	s.accepted++
