--- a/internal/sim/soak/plan.go
+++ b/internal/sim/soak/plan.go
@@ -45,9 +45,10 @@
 
 var faultNames = map[FaultKind]string{
 	FaultVanish: "vanish", FaultPartition: "partition", FaultHang: "hang", FaultCrash: "crash",
-	FaultReplace: "replace", FaultReset: "reset", FaultLateConnections: "late_connections", FaultMalformedAnswers: "spoil",
-	FaultSilentDiscovery: "silent_discovery", FaultReload: "reload", FaultTerminate: "terminate",
-	FaultTerminateInReload: "terminate_in_reload", FaultKill: "kill", FaultLoadSurge: "crowd",
+	FaultReplace: "replace", FaultReset: "reset", FaultLateConnections: "late_connections",
+	FaultMalformedAnswers: "spoil", FaultSilentDiscovery: "silent_discovery", FaultReload: "reload",
+	FaultTerminate: "terminate", FaultTerminateInReload: "terminate_in_reload", FaultKill: "kill",
+	FaultLoadSurge: "crowd",
 }
 
 // String returns the kind's name.
@@ -81,7 +82,7 @@
 	Sockets     int               `json:"sockets"`
 }
 
-// CallerBehavior are the shares of callers with difficult behavior.
+// CallerBehavior has the shares of callers that behave in a way that is hard for controllers.
 type CallerBehavior struct {
 	SlowWriters   float64 `json:"slow_writers"`  // write their set-up in chunks
 	EarlyAbandons float64 `json:"early_leavers"` // abandon their call before its deadline
--- a/internal/sim/soak/run.go
+++ b/internal/sim/soak/run.go
@@ -69,7 +69,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	r.play()
+	r.execute()
 	r.checkEnd()
 	violations, counts := r.monitor.finish()
 	return &Result{Plan: plan, Counts: counts, Violations: violations}, nil
@@ -170,8 +170,8 @@
 	return false
 }
 
-// play generates calls, injects the faults, and waits until the time limits of all rules have passed.
-func (r *runner) play() {
+// execute generates calls, injects the faults, and waits until the time limits of all rules have passed.
+func (r *runner) execute() {
 	var running sync.WaitGroup
 	start := time.Now()
 	for _, c := range r.controllers {
--- a/internal/sim/soak/soak_test.go
+++ b/internal/sim/soak/soak_test.go
@@ -116,7 +116,8 @@
 				plan.Deployment.Rate = 20 / (callTime.D().Seconds() / 3)
 				r := runPlan(t, plan)
 				if r.Counts.Cut > 0 || r.Counts.Established < 20 {
-					t.Errorf("%d of %d calls were released although they were still established", r.Counts.Cut, r.Counts.Established)
+					t.Errorf("%d of %d calls were released although they were still established",
+						r.Counts.Cut, r.Counts.Established)
 				}
 				reportViolations(t, r.Violations)
 			})
@@ -125,7 +126,7 @@
 }
 
 // Generated plans of all combinations violate no rule.
-func TestStories(t *testing.T) {
+func TestGeneratedPlans(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
@@ -143,7 +144,7 @@
 }
 
 // A seed always generates the same plan, and consecutive seeds generate all combinations.
-func TestDrawStory(t *testing.T) {
+func TestGeneratePlan(t *testing.T) {
 	t.Parallel()
 	generated := make(map[string]bool)
 	for seed := range uint64(100) {
