--- a/internal/sim/exchange/exchange.go
+++ b/internal/sim/exchange/exchange.go
@@ -101,7 +101,7 @@
 func (x *Exchange) Speed(now Time) float64 {
 	speed := 1 / x.slowdown
 	if x.isColdStart {
-		speed *= x.settings.Warmth(now - x.startedAt)
+		speed *= x.settings.CapacityShare(now - x.startedAt)
 	}
 	return speed
 }
--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -66,7 +66,7 @@
 		if e.startedAt+age > e.sim.now {
 			break
 		}
-		shares = append(shares, float64(e.setUpsBySecond[second])/(settings.Capacity()*settings.Warmth(age)))
+		shares = append(shares, float64(e.setUpsBySecond[second])/(settings.Capacity()*settings.CapacityShare(age)))
 	}
 	return shares
 }
