--- a/internal/sim/exchange/settings.go
+++ b/internal/sim/exchange/settings.go
@@ -45,8 +45,8 @@
 	return 1 / (s.SetUp + s.Answer + s.Release).Seconds()
 }
 
-// CapacityShare returns the share of its capacity, from SlowStartShare to 1, that a processor has at an age since its cold
-// start.
+// CapacityShare returns the share of its capacity, from SlowStartShare to 1, that a processor has at an age since its
+// cold start.
 func (s *Settings) CapacityShare(age time.Duration) float64 {
 	if age >= s.SlowStartPeriod {
 		return 1
