--- a/internal/sim/soak/inject.go
+++ b/internal/sim/soak/inject.go
@@ -194,7 +194,7 @@
 	x.malformedShare = share
 }
 
-// malformedAnswers are sent in slot of valid answers. The exchange has handled the request in each case.
+// malformedAnswers are sent instead of valid answers. The exchange has handled the request in each case.
 var malformedAnswers = []string{
 	"\x00\xff\x01\x02\r\n\r\n",
 	"SIP/2.0 2x0 OK\r\n\r\n",
