--- a/internal/sim/invariant/checker.go
+++ b/internal/sim/invariant/checker.go
@@ -101,7 +101,8 @@
 	case ControllerEnded:
 		c.forgetController(e.Controller)
 	case CallOffered, CallEstablished, CallRejected, CallAbandoned, AttemptSent, AttemptCanceled, AttemptUnsent,
-		AttemptAnswered, AttemptRejected, AttemptBroken, CallEnded, CallerNotified, CallerReleased, CallStillEstablished:
+		AttemptAnswered, AttemptRejected, AttemptBroken, CallEnded, CallerNotified, CallerReleased,
+		CallStillEstablished:
 		c.checkCallEvent(e)
 	}
 }
--- a/internal/sim/invariant/event.go
+++ b/internal/sim/invariant/event.go
@@ -17,14 +17,14 @@
 	CallOffered          Kind = iota // a call is offered; Event.Deadline is the time at which its caller abandons it
 	CallEstablished                  // final answer: the call is established
 	CallRejected                     // final answer: the call is rejected or has failed
-	CallAbandoned                    // the caller abandons the call, or its connection is lost; no final answer is due
+	CallAbandoned                    // the caller abandons the call or its connection is lost; no final answer is due
 	AttemptSent                      // an attempt is sent to Event.Server
 	AttemptCanceled                  // the attempt is canceled
 	AttemptUnsent                    // the attempt is canceled before it was written to the connection
 	AttemptAnswered                  // the server answers the attempt
 	AttemptRejected                  // the attempt ended and certainly did not run
 	AttemptBroken                    // the attempt ended with its connection and may have run
-	ServerUpdated                    // an endpoint update: Event.Server drains or is removed (Event.IsSet), or is active
+	ServerUpdated                    // an endpoint update: Event.Server drains or is removed (Event.IsSet) or is active
 	ControllerEnded                  // the controller ended; its calls need no final answer
 	ServerCrashed                    // Event.Server crashed by overload during its slow start
 	ControllerPaused                 // the controller's process is stopped (Event.IsSet) or continues
--- a/internal/sim/soak/monitor.go
+++ b/internal/sim/soak/monitor.go
@@ -89,66 +89,66 @@
 }
 
 // register records the content of a set-up before it is sent.
-func (mon *monitor) register(id string, s setup) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.setups[id] = s
+func (mo *monitor) register(id string, s setup) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	mo.setups[id] = s
 }
 
 // checkSetup compares an INVITE with the set-up of its caller, and returns the controller to which that was sent.
-func (mon *monitor) checkSetup(exchangeID string, m *sip.Message) (controller string) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	s, isKnown := mon.setups[m.CallID]
+func (mo *monitor) checkSetup(exchangeID string, m *sip.Message) (controller string) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	s, isKnown := mo.setups[m.CallID]
 	switch {
 	case !isKnown:
-		mon.reportViolationLocked(RulePassedUnchanged, "", m.CallID, "%s received a set-up that no caller sent",
+		mo.reportViolationLocked(RulePassedUnchanged, "", m.CallID, "%s received a set-up that no caller sent",
 			exchangeID)
 	case s.class != m.Header("X-Cos") || s.number != m.User() || !bytes.Equal(s.description, m.Body):
-		mon.reportViolationLocked(RulePassedUnchanged, s.controller, m.CallID, "%s received class %q, number %q, %q",
+		mo.reportViolationLocked(RulePassedUnchanged, s.controller, m.CallID, "%s received class %q, number %q, %q",
 			exchangeID, m.Header("X-Cos"), m.User(), m.Body)
 	}
 	return s.controller
 }
 
 // record passes an event to the checker with the current time. e.Deadline is relative to it.
-func (mon *monitor) record(e invariant.Event) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.count(mon.recordLocked(e))
+func (mo *monitor) record(e invariant.Event) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	mo.count(mo.recordLocked(e))
 }
 
 // recordReleaseSent records the release of a call whose end was recorded as one without a release.
-func (mon *monitor) recordReleaseSent(e invariant.Event) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.recordLocked(e)
-	mon.counts.Lost--
+func (mo *monitor) recordReleaseSent(e invariant.Event) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	mo.recordLocked(e)
+	mo.counts.Lost--
 }
 
-func (mon *monitor) recordLocked(e invariant.Event) invariant.Event {
-	mon.lastAt = max(time.Since(mon.startTime), mon.lastAt)
-	e.At = mon.lastAt
+func (mo *monitor) recordLocked(e invariant.Event) invariant.Event {
+	mo.lastAt = max(time.Since(mo.startTime), mo.lastAt)
+	e.At = mo.lastAt
 	e.Deadline += e.At
-	mon.checker.Record(e)
+	mo.checker.Record(e)
 	switch e.Kind {
 	case invariant.CallEstablished, invariant.CallRejected, invariant.CallAbandoned:
-		mon.overAt[e.Call] = e.At
+		mo.overAt[e.Call] = e.At
 	default: // not the end of a set-up
 	}
 	return e
 }
 
 // hasEndedAfter reports whether a set-up was answered or abandoned after a time.
-func (mon *monitor) hasEndedAfter(call string, after time.Time) bool {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	overAt, isOver := mon.overAt[call]
-	return isOver && overAt > after.Sub(mon.startTime)
+func (mo *monitor) hasEndedAfter(call string, after time.Time) bool {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	overAt, isOver := mo.overAt[call]
+	return isOver && overAt > after.Sub(mo.startTime)
 }
 
-func (mon *monitor) count(e invariant.Event) {
-	c := &mon.counts
+func (mo *monitor) count(e invariant.Event) {
+	c := &mo.counts
 	switch e.Kind {
 	case invariant.CallOffered:
 		c.Offered++
@@ -170,26 +170,26 @@
 }
 
 // countCut counts a caller that was notified of a release although its call was still established at its exchange.
-func (mon *monitor) countCut() {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.counts.Cut++
+func (mo *monitor) countCut() {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	mo.counts.Cut++
 }
 
 // reportViolation records a violation of one of the rules of this package.
-func (mon *monitor) reportViolation(r invariant.Rule, controller, call, format string, args ...any) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
-	mon.reportViolationLocked(r, controller, call, format, args...)
+func (mo *monitor) reportViolation(r invariant.Rule, controller, call, format string, args ...any) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
+	mo.reportViolationLocked(r, controller, call, format, args...)
 }
 
-func (mon *monitor) reportViolationLocked(r invariant.Rule, controller, call, format string, args ...any) {
-	if len(mon.violations) >= maxViolations {
+func (mo *monitor) reportViolationLocked(r invariant.Rule, controller, call, format string, args ...any) {
+	if len(mo.violations) >= maxViolations {
 		return
 	}
-	mon.violations = append(mon.violations, &invariant.Violation{
+	mo.violations = append(mo.violations, &invariant.Violation{
 		Rule:       r,
-		At:         time.Since(mon.startTime),
+		At:         time.Since(mo.startTime),
 		Controller: controller,
 		Call:       call,
 		Text:       fmt.Sprintf(format, args...),
@@ -197,10 +197,10 @@
 }
 
 // finish returns the violations and the totals of the run.
-func (mon *monitor) finish() ([]*invariant.Violation, Counts) {
-	mon.mu.Lock()
-	defer mon.mu.Unlock()
+func (mo *monitor) finish() ([]*invariant.Violation, Counts) {
+	mo.mu.Lock()
+	defer mo.mu.Unlock()
 	// Finish also checks calls that are still open, but all calls have been answered before a run ends.
-	mon.checker.Finish(time.Since(mon.startTime))
-	return append(mon.violations, mon.checker.Violations()...), mon.counts
+	mo.checker.Finish(time.Since(mo.startTime))
+	return append(mo.violations, mo.checker.Violations()...), mo.counts
 }
