--- a/internal/sim/virtualtime/options.go
+++ b/internal/sim/virtualtime/options.go
@@ -9,13 +9,13 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// Options change a run. The zero value runs the scenario as it is. A controller is named "n" and its index.
+// Options modifies a run. The zero value runs the scenario unchanged. The name of a controller is "n" and its index.
 type Options struct {
 	// Until ends the run early; 0 means the length of the scenario.
 	Until Time
 
-	// WrapDecider, Backends and Client wrap the interfaces between the call manager of a controller and its
-	// surroundings. Tests violate invariants with them, to see that the checker finds the violations.
+	// WrapDecider, WrapBackends and WrapClient wrap the interfaces between the call manager of a controller and its
+	// environment. Tests use them to violate invariants and check that the violations are found.
 	WrapDecider  func(controller string, d call.Decider) call.Decider
 	WrapBackends func(controller string, b call.Backends) call.Backends
 	WrapClient   func(controller string, c call.Client) call.Client
@@ -25,7 +25,7 @@
 	Datagrams func(controller int, send SendFunc) ReceiveFunc
 
 	// StartPeer starts the distributed overload control of a controller, at each start of the controller. It is not
-	// called if the scenario does without.
+	// called if the scenario disables overload control.
 	StartPeer func(PeerConfig) Peer
 
 	// Watch is called with each event that the invariant checker records.
@@ -41,7 +41,7 @@
 // ReceiveFunc handles a datagram of the controller with an index.
 type ReceiveFunc func(from int, payload []byte)
 
-// PeerConfig is what Options.Share gets to start the overload control of one controller.
+// PeerConfig is the argument of Options.StartPeer.
 type PeerConfig struct {
 	Scenario    *scenario.Scenario
 	Controller  int    // index of the controller
@@ -52,12 +52,12 @@
 	Send        SendFunc
 }
 
-// Peer is the part of one controller in distributed overload control. All times are readings of the controller's
+// Peer takes part in distributed overload control for one controller. All times are readings of the controller's
 // clock.
 type Peer interface {
 	// Receive handles a datagram of another controller.
 	Receive(now time.Duration, from int, payload []byte)
-	// Tick does what is due.
+	// Tick performs the actions that are due.
 	Tick(now time.Duration)
 	// NextDeadline returns the time at which Tick is due next.
 	NextDeadline() time.Duration
