--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -9,8 +9,8 @@
 	"olivedale/internal/sim/result"
 )
 
-// extraCurveSeconds is how long past the warm-up the load of a cold exchange is reported.
-const extraCurveSeconds = 5
+// secondsAfterSlowStart is how long after its slow start the load of a cold exchange is still reported.
+const secondsAfterSlowStart = 5
 
 // result sums up a run whose load ended at end.
 func (s *simulation) result(end Time) *result.Result {
@@ -23,7 +23,7 @@
 	return r
 }
 
-// violationCounts counts violations by rule; it is nil if there are none.
+// violationCounts returns the number of violations by rule, or nil if there are none.
 func (s *simulation) violationCounts() map[string]int {
 	var counts map[string]int
 	for _, rule := range invariant.Rules {
@@ -58,10 +58,10 @@
 	})
 }
 
-// relativeLoad returns the set-ups that reached a cold exchange in each second, over its capacity at that time.
+// relativeLoad returns, for each second, the set-ups that reached a cold exchange, divided by its capacity then.
 func (e *exchangeInstance) relativeLoad() (shares []float64) {
 	settings := &e.sim.model
-	for second := range int(settings.SlowStartPeriod/time.Second) + extraCurveSeconds {
+	for second := range int(settings.SlowStartPeriod/time.Second) + secondsAfterSlowStart {
 		age := time.Duration(second) * time.Second
 		if e.startedAt+age > e.sim.now {
 			break
