--- a/internal/sim/virtualtime/backendconns.go
+++ b/internal/sim/virtualtime/backendconns.go
@@ -6,8 +6,8 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// backendConns is a controller as the call.Backends of its manager: the sending side of the connections to the
-// exchanges.
+// backendConns implements call.Backends for the call manager of a controller: the sending side of the connections to
+// the exchanges.
 type backendConns controller
 
 // Invite implements call.Backends.
@@ -19,7 +19,7 @@
 	s.tally.Sent()
 	e := s.exchangesByID[server]
 	if e == nil {
-		return // only a decision module that a test has altered sends to an unknown server
+		return // only a decision module that a test has modified sends to an unknown server
 	}
 	c.openAttempts[a] = e
 	isRefusingConns := e.model.State() == exchange.Down && !e.isUnreachable
@@ -42,7 +42,7 @@
 	delete(c.openAttempts, a)
 	c.record(invariant.Event{Kind: invariant.AttemptCanceled, Call: id, Server: server, Attempt: attempt})
 	e := c.sim.exchangesByID[server]
-	isLost := e == nil || c.isUnresponsive(e) // a lost connection cancels as well
+	isLost := e == nil || c.isUnresponsive(e) // the exchange cancels the attempt when its connection is lost
 	if !isLost {
 		c.send(e, func(x *exchange.Exchange, now Time) { x.Cancel(now, a) })
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// send sends a message to an exchange. It tries again until the connection carries the message.
+// send sends a message to an exchange. While the connection is unresponsive, it retries after releaseRetry.
 func (c *controller) send(e *exchangeInstance, input func(x *exchange.Exchange, now Time)) {
 	if c.isUnresponsive(e) {
 		c.after(releaseRetry, func() { c.send(e, input) })
@@ -104,7 +104,7 @@
 	})
 }
 
-// retransmitRelease lets an exchange send a release again that the connection did not carry.
+// retransmitRelease makes an exchange resend a release after its connection was unresponsive.
 func (c *controller) retransmitRelease(e *exchangeInstance, m exchange.Message) {
 	c.sim.after(releaseRetry, func() {
 		if !e.isUnreachable {
@@ -128,7 +128,7 @@
 		c.manager.AttemptEnded(e.id, m.Call, m.Number, call.NoCircuit)
 	case exchange.Released:
 		c.manager.BackendReleased(e.id, m.Call, m.Cause, c.frontend)
-	case exchange.Canceled: // the manager has forgotten the attempt that it canceled
+	case exchange.Canceled: // the manager no longer tracks an attempt that it canceled
 	}
 	c.settle()
 }
--- a/internal/sim/virtualtime/links.go
+++ b/internal/sim/virtualtime/links.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	responseTimeout = 250 * time.Millisecond // a connection without an answer for this long is given up
+	responseTimeout = 250 * time.Millisecond // a connection without a response for this long counts as dead
 	dialTimeout     = 500 * time.Millisecond
-	releaseRetry    = 200 * time.Millisecond // a release that was not delivered is sent again after this
+	releaseRetry    = 200 * time.Millisecond // delay before an undelivered release is sent again
 )
 
 // link is one direction of a connection. It delivers in the order of sending.
 type link struct{ lastArrival Time }
 
-// deadConn is the state of a connection that stays open and carries nothing.
+// deadConn is the state of a connection that stays open but delivers no messages.
 type deadConn uint8
 
 const (
 	deadUndetected deadConn = iota
-	deadDetected            // a new connection is dialed as soon as the network allows
+	deadDetected            // a new connection is dialed once no partition prevents it
 )
 
 // exchangeLinks are the connections of a controller to the exchanges.
@@ -42,13 +42,13 @@
 	}
 }
 
-// isDetectedDead reports whether the controller knows that its connection carries nothing.
+// isDetectedDead reports whether the controller has detected that its connection is dead.
 func (l *exchangeLinks) isDetectedDead(e *exchangeInstance) bool {
 	state, isDead := l.dead[e]
 	return isDead && state == deadDetected
 }
 
-// linkTo returns the link of a map, which it creates if there is none.
+// linkTo returns the link to an exchange and creates it if there is none.
 func linkTo(links map[*exchangeInstance]*link, e *exchangeInstance) *link {
 	if links[e] == nil {
 		links[e] = &link{}
@@ -89,8 +89,8 @@
 	})
 }
 
-// isUnresponsive reports whether the connection to an exchange carries nothing. A connection that is known to be dead
-// is replaced here once no partition is in the way.
+// isUnresponsive reports whether the connection to an exchange delivers no messages. It replaces a connection that was
+// detected dead once no partition prevents that.
 func (c *controller) isUnresponsive(e *exchangeInstance) bool {
 	isPartitioned := c.sim.isPartitioned(c.zone, e.zone)
 	if c.links.isDetectedDead(e) && !isPartitioned {
@@ -100,8 +100,8 @@
 	return isDead || isPartitioned
 }
 
-// loseSetUp handles a set-up on a connection that carries nothing. The controller detects the dead connection after
-// responseTimeout; if it knows about it already, the set-up waits for a dial that times out.
+// loseSetUp handles a set-up on an unresponsive connection. The controller detects the dead connection after
+// responseTimeout; if it has detected it before, the set-up waits for a dial that times out.
 func (c *controller) loseSetUp(e *exchangeInstance, a exchange.Attempt) {
 	if c.links.isDetectedDead(e) {
 		c.after(dialTimeout, func() { c.failUnsentAttempt(e, a, call.DialTimedOut) })
@@ -115,7 +115,7 @@
 	})
 }
 
-// failUnsentAttempt ends an attempt that never reached its exchange, unless it has ended already.
+// failUnsentAttempt ends an attempt that did not reach its exchange, unless it has already ended.
 func (c *controller) failUnsentAttempt(e *exchangeInstance, a exchange.Attempt, end call.AttemptEnd) {
 	if c.openAttempts[a] != e {
 		return
@@ -125,13 +125,13 @@
 	c.settle()
 }
 
-// endAttempt removes an attempt from the open ones and records its end.
+// endAttempt removes an attempt from openAttempts and records its end.
 func (c *controller) endAttempt(kind invariant.Kind, e *exchangeInstance, a exchange.Attempt) {
 	delete(c.openAttempts, a)
 	c.record(invariant.Event{Kind: kind, Call: a.Call, Server: e.id, Attempt: a.Number})
 }
 
-// breakConnection breaks the connection to an exchange. Its open attempts end.
+// breakConnection breaks the connection to an exchange, which ends the open attempts at the exchange.
 func (c *controller) breakConnection(e *exchangeInstance, end call.AttemptEnd) {
 	c.transmitFrom(e, false, func() { c.failOpenAttempts(e, end) })
 	if e.model.State() != exchange.Down {
@@ -139,7 +139,7 @@
 	}
 }
 
-// failOpenAttempts ends the open attempts at an exchange, in the order of their names.
+// failOpenAttempts ends the open attempts at an exchange, ordered by call ID and attempt number.
 func (c *controller) failOpenAttempts(e *exchangeInstance, end call.AttemptEnd) {
 	var attempts []exchange.Attempt
 	for a, at := range c.openAttempts {
@@ -157,7 +157,7 @@
 	c.settle()
 }
 
-// resetExchange lets an exchange see that its connection to the controller is lost.
+// resetExchange notifies an exchange that its connection to the controller is lost.
 func (c *controller) resetExchange(e *exchangeInstance) {
 	c.transmitTo(e, func() {
 		e.apply(func(x *exchange.Exchange, now Time) { x.ConnectionLost(now, c.name) })
--- a/internal/sim/virtualtime/networkfaults.go
+++ b/internal/sim/virtualtime/networkfaults.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// announceRemoval removes exchanges that run from discovery.
+// announceRemoval removes running exchanges from discovery while the fault lasts.
 func (s *simulation) announceRemoval(f scenario.Fault) {
 	removed := s.drawExchanges(f.Share)
 	for _, e := range removed {
@@ -43,7 +43,8 @@
 	}
 }
 
-// killConnections makes connections carry nothing while they stay open, until the controllers detect it.
+// killConnections makes connections to exchanges dead: they stay open but deliver no messages until the controllers
+// detect it.
 func (s *simulation) killConnections(f scenario.Fault) {
 	for _, e := range s.drawExchanges(f.Share) {
 		for _, c := range s.controllers {
@@ -54,7 +55,7 @@
 	}
 }
 
-// partitionZone separates one zone from the others.
+// partitionZone separates one zone from the others while the fault lasts.
 func (s *simulation) partitionZone(f scenario.Fault) {
 	zone := s.rng.IntN(s.scenario.Fleet.Zones)
 	s.faults.partitions[zone]++
--- a/internal/sim/virtualtime/peers.go
+++ b/internal/sim/virtualtime/peers.go
@@ -8,12 +8,12 @@
 	"olivedale/internal/sim/eventqueue"
 )
 
-// maxDatagramSize is the limit of the platform for a datagram between controllers, in bytes.
+// maxDatagramSize is the platform's limit for a datagram between controllers, in bytes.
 const maxDatagramSize = 256
 
-// overloadControl is the part of a controller in distributed overload control.
+// overloadControl is the state of a controller's participation in distributed overload control.
 type overloadControl struct {
-	peer     Peer        // nil: the controller takes no part
+	peer     Peer        // nil: the controller does not take part
 	receive  ReceiveFunc // nil: datagrams are ignored
 	nextWake Time        // due time of the event that ticks the peer
 }
@@ -68,11 +68,11 @@
 	})
 }
 
-// sendDatagram sends a datagram to one controller or to Everyone. It counts once for each receiver, also where it is
-// lost.
+// sendDatagram sends a datagram to one controller or to Everyone. The tally counts it once for each receiver, even if
+// it is lost.
 func (c *controller) sendDatagram(to int, payload []byte) {
 	if len(payload) > maxDatagramSize {
-		panic(fmt.Sprintf("virtualtime: a datagram of %d bytes, %d at most", len(payload), maxDatagramSize))
+		panic(fmt.Sprintf("virtualtime: datagram of %d bytes exceeds the limit of %d", len(payload), maxDatagramSize))
 	}
 	for _, receiver := range c.sim.controllers {
 		isAddressed := to == Everyone || to == receiver.index
@@ -82,7 +82,7 @@
 	}
 }
 
-// transmitDatagram delays a datagram or loses it, by chance or by a partition.
+// transmitDatagram delivers a datagram after a random delay, unless it is lost at random or by a partition.
 func (c *controller) transmitDatagram(receiver *controller, payload []byte) {
 	s := c.sim
 	s.tally.Datagram(len(payload))
