--- a/internal/sim/virtualtime/callerpool.go
+++ b/internal/sim/virtualtime/callerpool.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	arrivalWindow     = 100 * time.Millisecond // the peak call rate is computed for one window at a time
+	arrivalWindow     = 100 * time.Millisecond // arrivals are generated for one window at a time
 	peakSamples       = 4                      // intervals of a window at whose ends the call rate is sampled
 	numbersPerServer  = 200_000
 	numberPrefix      = "5"
-	popularNumber     = "5000" // the number of the hot calls
+	popularNumber     = "5000" // dialed by the share HotNumberShare of the calls
 	finalAnswerMargin = 5 * time.Second
 )
 
@@ -31,7 +31,7 @@
 	isClosed    bool    // no new calls and retries
 }
 
-// caller is somebody who wants one call, over all requests for it.
+// caller is the originator of one call. Its state covers all requests for this call.
 type caller struct {
 	class          *scenario.Class
 	classIndex     int
@@ -109,7 +109,7 @@
 	})
 }
 
-// shiftPopularPool draws the popular pool, now and at random intervals.
+// shiftPopularPool draws the popular pool and schedules the next draw at a random interval.
 func (p *callerPool) shiftPopularPool() {
 	p.popularPool = p.rng.IntN(len(p.sim.exchangesByPool))
 	interval := p.sim.scenario.Callers.PreferenceInterval
@@ -123,7 +123,7 @@
 	})
 }
 
-// startCall generates a caller and the first request.
+// startCall generates a caller and sends its first request.
 func (p *callerPool) startCall() {
 	sc := p.sim.scenario
 	c := &caller{startedAt: p.sim.now, patienceDraw: p.rng.Float64()}
@@ -138,7 +138,7 @@
 	p.sendFirstRequest(c)
 }
 
-// redial calls again for a caller whose established call was dropped.
+// redial starts a new call for a caller whose established call was dropped.
 func (p *callerPool) redial(dropped *caller) {
 	c := &caller{
 		class:          dropped.class,
--- a/internal/sim/virtualtime/request.go
+++ b/internal/sim/virtualtime/request.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	answerMargin       = 5 * time.Millisecond // of the caller's patience, reserved for the way of the final answer
-	maxBackoffDoubling = 4                    // the delay of retries doubles at most this often
+	answerMargin       = 5 * time.Millisecond // of the caller's patience, reserved for the delivery of the final answer
+	maxBackoffDoubling = 4                    // the retry delay doubles at most this many times
 )
 
-// request is one request of a caller for the call, to one controller.
+// request is one request for a caller's call, sent to one controller.
 type request struct {
 	id            string
 	caller        *caller
 	controller    *controller
 	answeredBy    *exchangeInstance // nil: none has answered
-	isOver        bool              // it has its final answer, or the caller has abandoned it
+	isOver        bool              // it has its final answer, has failed, or the caller has abandoned it
 	isEstablished bool
 }
 
@@ -47,8 +47,8 @@
 	s.after(abandonAfter, func() { p.abandonRequest(r, incarnation) })
 }
 
-// acceptingController returns the first controller from an index on that accepts calls. If there is none, it returns
-// the one with the index.
+// acceptingController returns the first controller that accepts calls, starting at an index. If there is none, it
+// returns the controller at the index.
 func (s *simulation) acceptingController(index int) *controller {
 	for offset := range s.controllers {
 		c := s.controllers[(index+offset)%len(s.controllers)]
@@ -71,7 +71,7 @@
 }
 
 // deliverRequest offers a request to the call manager of its controller. The request fails if the controller has ended
-// meanwhile. The caller abandons the request at the deadline.
+// since it was sent. The caller abandons the request at the deadline.
 func (p *callerPool) deliverRequest(r *request, incarnation int, deadline Time) {
 	c := r.controller
 	if !c.isRunningAs(incarnation) {
@@ -112,7 +112,8 @@
 	})
 }
 
-// failRequest ends a request without a call. The caller may send another one, not before retryAfter.
+// failRequest ends a request that established no call. The caller may send another request, after retryAfter at the
+// earliest.
 func (p *callerPool) failRequest(r *request, retryAfter time.Duration) {
 	if r.isOver {
 		return
@@ -142,14 +143,14 @@
 	})
 }
 
-// noteAnswer records which exchange has answered a request, before the caller knows.
+// noteAnswer records which exchange has answered a request, before the answer reaches the caller.
 func (p *callerPool) noteAnswer(id string, e *exchangeInstance) {
 	if r := p.requests[id]; r != nil && !r.isOver {
 		r.answeredBy = e
 	}
 }
 
-// onRejected handles the final answer that a call is not established.
+// onRejected handles a final answer that rejects a call.
 func (p *callerPool) onRejected(id string, cause int, retryAfter time.Duration) {
 	r := p.requests[id]
 	if r == nil || r.isOver {
@@ -159,7 +160,7 @@
 	p.failRequest(r, retryAfter)
 }
 
-// onEstablished handles the final answer that a call is established.
+// onEstablished handles a final answer that establishes a call.
 func (p *callerPool) onEstablished(id string) {
 	r := p.requests[id]
 	if r == nil || r.isOver {
