--- a/internal/sim/virtualtime/controller.go
+++ b/internal/sim/virtualtime/controller.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	shutdownLimit        = 3 * time.Second        // a controller that shuts down ends by then, whatever is open
-	shutdownPollInterval = 50 * time.Millisecond  // how often a controller that shuts down looks for open attempts
+	shutdownLimit        = 3 * time.Second        // limit of a shutdown, even with open attempts
+	shutdownPollInterval = 50 * time.Millisecond  // how often a controller that shuts down checks for open attempts
 	minTickInterval      = 100 * time.Microsecond // between two ticks of a call manager
 	maxDeadline          = 100 * epoch            // a later deadline means none
 )
 
-// managerLimits are those of a controller in production.
+// managerLimits are the limits of the call manager in production.
 var managerLimits = call.Limits{OpenCalls: 12288, DescriptionBytes: 24 << 20, CompletedIDs: 24576}
 
 // controller is a call controller: the product's call manager and admission engine on the clock of the simulation.
-// It starts and ends several times in a run; the fields after incarnation belong to the present start.
+// It may start and end several times in a run; the fields after incarnation belong to the current start.
 type controller struct {
 	sim         *simulation
 	index       int
@@ -46,7 +46,7 @@
 	return &controller{sim: s, index: index, name: fmt.Sprint("n", index), zone: index % s.scenario.Fleet.Zones}
 }
 
-// start starts the controller. It knows the list of servers from the beginning.
+// start starts the controller. The call manager gets the list of servers at once.
 func (c *controller) start() {
 	s := c.sim
 	c.incarnation++
@@ -126,7 +126,7 @@
 	}
 	c.scheduleOverloadTick()
 	deadline := c.manager.NextDeadline()
-	// The clock moves on between ticks, even if the decision module asks for a tick at once all the time.
+	// Ticks are at least minTickInterval apart, so that time advances even if the module always asks for one at once.
 	next := max(deadline-epoch, c.sim.now, c.lastTick+minTickInterval)
 	if next >= c.nextWake || deadline > maxDeadline {
 		return
@@ -144,7 +144,7 @@
 	})
 }
 
-// kill ends the controller. Its callers and the exchanges see their connections reset.
+// kill ends the controller without a shutdown. The connections of its callers and to the exchanges are reset.
 func (c *controller) kill() {
 	if !c.isRunning() {
 		return
@@ -158,7 +158,7 @@
 	c.sim.callers.controllerLost(c)
 }
 
-// startAfter starts the controller after a downtime, unless it runs by then.
+// startAfter starts the controller after a downtime, unless it is already running then.
 func (c *controller) startAfter(downtime time.Duration) {
 	c.sim.after(downtime, func() {
 		if !c.isRunning() {
--- a/internal/sim/virtualtime/discovery.go
+++ b/internal/sim/virtualtime/discovery.go
@@ -5,7 +5,7 @@
 	"olivedale/internal/sim/invariant"
 )
 
-// discoveryView is what a controller knows from service discovery.
+// discoveryView is the state that a controller has from service discovery.
 type discoveryView struct {
 	lastUpdateAt Time               // arrival of the endpoint update that was sent last
 	missed       []admission.Server // updates that a discovery outage holds back
@@ -29,7 +29,8 @@
 	}
 }
 
-// scheduleUpdate lets an endpoint update arrive after a random delay, in the order of sending.
+// scheduleUpdate schedules the arrival of an endpoint update after a random delay. Updates arrive in the order of
+// sending.
 func (c *controller) scheduleUpdate(update admission.Server) {
 	s := c.sim
 	arrival := s.now + s.draw(s.scenario.Network.EndpointUpdates) + s.faults.discoveryDelay
--- a/internal/sim/virtualtime/exchangefaults.go
+++ b/internal/sim/virtualtime/exchangefaults.go
@@ -7,7 +7,7 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// minDrainPeriod is the shortest drain of an exchange that is replaced.
+// minDrainPeriod is the minimum drain period of an exchange that is replaced.
 const minDrainPeriod = 5 * time.Second
 
 func (s *simulation) slowExchanges(f scenario.Fault) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// replaceExchanges deploys replacements one after the other, over the duration of the fault.
+// replaceExchanges deploys replacements one after the other, spread over the duration of the fault.
 func (s *simulation) replaceExchanges(f scenario.Fault) {
 	replaced := s.drawExchanges(f.Share)
 	for i, e := range replaced {
--- a/internal/sim/virtualtime/exchangeinstance.go
+++ b/internal/sim/virtualtime/exchangeinstance.go
@@ -24,14 +24,14 @@
 	model           *exchange.Exchange
 	startedAt       Time
 	isColdStart     bool
-	isUnreachable   bool                  // its messages are lost in both directions
-	isCrashedByLoad bool                  // it crashed by overload during slow start
+	isUnreachable   bool                  // messages in both directions are lost
+	isCrashedByLoad bool                  // it crashed because of overload during slow start
 	state           admission.ServerState // according to discovery
 	nextWake        Time                  // due time of the event that ticks the model
 	setUpsBySecond  map[int]int           // set-ups received, by age in seconds; nil unless isColdStart
 }
 
-// startExchange starts an exchange and does not announce it.
+// startExchange starts an exchange without announcing it in discovery.
 func (s *simulation) startExchange(id string, pool int, isColdStart bool) *exchangeInstance {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(len(s.exchanges))+firstExchangeStream))
 	e := &exchangeInstance{
@@ -54,7 +54,7 @@
 
 func (e *exchangeInstance) isRunning() bool { return e.model.State() == exchange.Running }
 
-// isServing reports whether the exchange runs and discovery announces it for new calls.
+// isServing reports whether the exchange is running and active in discovery.
 func (e *exchangeInstance) isServing() bool { return e.isRunning() && e.state == admission.Active }
 
 // apply passes an input to the model and sends the messages that result.
@@ -90,7 +90,7 @@
 	})
 }
 
-// receiveSetUp handles a set-up that reaches the exchange. The exchange may crash by it.
+// receiveSetUp handles a set-up that reaches the exchange. The set-up may crash the exchange.
 func (e *exchangeInstance) receiveSetUp(c *controller, a exchange.Attempt, class string) {
 	if e.setUpsBySecond != nil {
 		e.setUpsBySecond[int((e.sim.now-e.startedAt)/time.Second)]++
@@ -132,7 +132,7 @@
 	})
 }
 
-// replace starts a cold exchange in the pool of another.
+// replace starts a cold exchange in the pool of an old one.
 func (s *simulation) replace(old *exchangeInstance) {
 	id := fmt.Sprintf("x%d.%d", old.pool, len(s.exchanges))
 	e := s.startExchange(id, old.pool, true)
--- a/internal/sim/virtualtime/faults.go
+++ b/internal/sim/virtualtime/faults.go
@@ -7,10 +7,10 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// activeFaults are the faults of the environment that are in effect.
+// activeFaults holds the effects of the faults that are currently active.
 type activeFaults struct {
 	lostSetUpShare       float64
-	partialAnswerShare   float64 // answers of which only a part arrives; they count as lost
+	partialAnswerShare   float64 // truncated answers; they count as lost
 	malformedAnswerShare float64
 	duplicateAnswerShare float64
 	partitions           map[int]int // by zone: number of faults that separate it from the others
@@ -19,7 +19,7 @@
 	clockSkew            time.Duration // of the exchanges
 }
 
-// inject begins a fault and schedules its end.
+// inject starts a fault and schedules its end.
 func (s *simulation) inject(f scenario.Fault) {
 	s.tally.Fault(s.now, f)
 	switch f.Kind {
@@ -87,7 +87,7 @@
 	s.afterFault(f, func() { *value -= f.By.D() })
 }
 
-// drawExchanges draws a share of the exchanges that serve.
+// drawExchanges draws a share of the serving exchanges.
 func (s *simulation) drawExchanges(share float64) (drawn []*exchangeInstance) {
 	var candidates []*exchangeInstance
 	for _, e := range s.exchangesByPool {
@@ -104,7 +104,7 @@
 	return drawn
 }
 
-// countOf returns the share of n, rounded. A positive share is at least one.
+// countOf returns the share of n, rounded. A positive share gives at least one, up to n.
 func countOf(n int, share float64) int {
 	if share <= 0 {
 		return 0
