--- a/internal/sim/virtualtime/simulation.go
+++ b/internal/sim/virtualtime/simulation.go
@@ -1,10 +1,10 @@
-// Package virtualtime runs a scenario as a discrete-event simulation in virtual time. One process and one clock hold a
-// fleet of call controllers, each with the product's own call.Manager and admission.Engine, and models of the
+// Package virtualtime runs a scenario as a discrete-event simulation in virtual time. One process with one clock
+// simulates a fleet of call controllers, each with the product's own call.Manager and admission.Engine, and models the
 // exchanges, the links, service discovery, the callers and the injected faults.
 //
-// A run is deterministic: a scenario and a seed give the same result byte for byte. So all events come from one queue,
-// all random numbers from seeded sources, and nothing depends on the iteration order of a map. Invariants are checked
-// by package invariant from the messages on the links. The package starts no goroutine and opens no socket.
+// A run is deterministic: the same scenario and seed give the same result byte for byte. Therefore all events come from
+// one queue, all random numbers come from seeded sources, and nothing depends on the iteration order of a map. Package
+// invariant checks the invariants from the messages on the links. The package starts no goroutine and opens no socket.
 package virtualtime
 
 import (
@@ -22,11 +22,11 @@
 // Time is the time since the start of the run.
 type Time = time.Duration
 
-// epoch is what the clocks of the controllers show at the start of a run. They show Unix time in the product; a server
-// that started before the epoch is past its slow start.
+// epoch is the reading of the controllers' clocks at the start of a run. In the product they show Unix time. A server
+// that started before the epoch has completed its slow start.
 const epoch = 1000 * time.Hour
 
-// Streams of random numbers, the second word of the seed.
+// Streams of random numbers. The stream is the second word of a generator's seed.
 const (
 	environmentStream   = 1    // links, discovery and faults
 	callerStream        = 2    // the callers
@@ -65,7 +65,7 @@
 		end = min(end, opt.Until)
 	}
 	s.runUntil(end)
-	// The open calls get their final answers, or the checker finds that they do not.
+	// The remaining calls get their final answers, or the checker reports that they do not.
 	s.callers.isClosed = true
 	s.runUntil(end + s.callers.maxCallDuration())
 	s.checker.Finish(s.now)
@@ -116,15 +116,15 @@
 	s.now = end
 }
 
-// after schedules an event after a delay. A negative delay counts as none.
+// after schedules an event after a delay. A negative delay counts as 0.
 func (s *simulation) after(delay time.Duration, event func()) {
 	s.queue.Push(s.now+max(delay, 0), event)
 }
 
-// draw draws a duration for the environment.
+// draw draws a duration from a range, with the random numbers of the environment.
 func (s *simulation) draw(span scenario.DurationRange) time.Duration { return span.Draw(s.rng) }
 
-// occurs draws whether something of a probability happens. It draws nothing if the probability is 0.
+// occurs draws whether an event of the given probability happens. It uses no random number if the probability is 0.
 func (s *simulation) occurs(probability float64) bool {
 	return probability > 0 && s.rng.Float64() < probability
 }
