--- a/internal/sim/virtualtime/links_test.go
+++ b/internal/sim/virtualtime/links_test.go
@@ -10,10 +10,10 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// zonePair names a direction between the zones of a controller and an exchange.
+// zonePair is the zone of a controller and the zone of an exchange.
 type zonePair struct{ controller, exchange int }
 
-// No set-up reaches an exchange through a network partition, and calls go there again after it.
+// No set-up reaches an exchange across a network partition; set-ups reach it again after the partition ends.
 func TestPartition(t *testing.T) {
 	sc := scenario.Default()
 	sc.Length, sc.Callers.Load = seconds(12), 0.4
@@ -34,7 +34,7 @@
 		}
 	}})
 	if len(r.ViolationCounts) > 0 || len(during) != 5 || len(after) != 9 {
-		t.Errorf("violations %v; answers between zones during the partition %v, want five pairs of nine; after it %v",
+		t.Errorf("violations %v; answers by zone pair during the partition %v, want five pairs of nine; after it %v, want nine",
 			r.ViolationCounts, during, after)
 	}
 }
--- a/internal/sim/virtualtime/peers_test.go
+++ b/internal/sim/virtualtime/peers_test.go
@@ -16,10 +16,10 @@
 	partitionEnd    = 6 * time.Second
 )
 
-// controllerPair names a direction between two controllers.
+// controllerPair is the sender and the receiver of a datagram.
 type controllerPair struct{ from, to int }
 
-// datagramLog records the datagrams that controllers receive. All controllers send ten times a second.
+// datagramLog records the datagrams that controllers receive. Each controller sends ten times a second.
 type datagramLog struct {
 	t          *testing.T
 	now        time.Duration
@@ -34,14 +34,14 @@
 	l.senders[controller] = send
 	return func(from int, payload []byte) {
 		if string(payload) != fmt.Sprint("from ", from) {
-			l.t.Errorf("%d received %q of %d", controller, payload, from)
+			l.t.Errorf("controller %d received %q from %d", controller, payload, from)
 		}
 		pair := controllerPair{from, controller}
 		l.arrivals[pair] = append(l.arrivals[pair], l.now)
 	}
 }
 
-// watch sends the datagrams; the events of the calls set the pace.
+// watch sends the datagrams. It is called with each event, so the events of the calls drive the rounds.
 func (l *datagramLog) watch(e invariant.Event) {
 	l.now = e.At
 	if l.now-l.lastRound < 100*time.Millisecond {
@@ -76,8 +76,8 @@
 	return r, log
 }
 
-// Datagrams between controllers are delayed and lost as the scenario says, do not pass a partition, and are received
-// again after a restart. A second run gives the same.
+// Datagrams between controllers are delayed and lost as configured in the scenario, do not cross a partition, and are
+// received again after a restart. A second run gives the same result.
 func TestDatagrams(t *testing.T) {
 	r, log := runWithDatagrams(t)
 	received := 0
@@ -85,7 +85,7 @@
 		received += len(arrivals)
 		isSameZone := pair.from%3 == pair.to%3
 		if isSameZone && log.receivedInPartition(pair) == 0 {
-			t.Errorf("%v of one zone received nothing during the partition", pair)
+			t.Errorf("%v of one zone: no datagram received during the partition", pair)
 		}
 	}
 	silentPairs := 0
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	// Of the three pairs of zones the partition leaves one open.
+	// The partition leaves one of the three pairs of zones connected.
 	share := float64(received) / float64(r.Datagrams)
 	hasExpectedShare := share >= 0.4 && share <= 0.75
 	if silentPairs != 16 || log.startCount != 7 || !hasExpectedShare || len(r.ViolationCounts) > 0 {
--- a/internal/sim/virtualtime/seededdefect_test.go
+++ b/internal/sim/virtualtime/seededdefect_test.go
@@ -11,7 +11,7 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// seededDefect wraps the decision module and the backends of a controller and violates one rule.
+// seededDefect wraps the decision module and the backends of a controller and violates one rule on purpose.
 type seededDefect struct {
 	call.Decider
 	call.Backends
@@ -31,7 +31,7 @@
 	return d.count%d.interval == 0
 }
 
-// UpdateServers notes the states of the servers and the one that started last.
+// UpdateServers records the states of the servers and the latest cold server.
 func (d *seededDefect) UpdateServers(now call.Time, servers []admission.Server, full bool) {
 	for _, s := range servers {
 		d.serverStates[s.ID] = s.State
@@ -95,7 +95,7 @@
 	c.Client.CallEstablished(id, description)
 }
 
-// The checker finds a violation of each rule.
+// The invariant checker finds a violation of each rule, seeded by a defect in the decision module, backends or client.
 func TestSeededDefects(t *testing.T) {
 	t.Parallel()
 	for _, rule := range invariant.Rules {
@@ -131,9 +131,9 @@
 				t.Errorf("no violation found: %v", r.ViolationCounts)
 			}
 			if len(r.Violations) > 0 {
-				b := r.Violations[0]
-				if len(b.Events) == 0 || !strings.Contains(b.Error(), string(b.Rule)) {
-					t.Errorf("%v with %v", b, b.Events)
+				v := r.Violations[0]
+				if len(v.Events) == 0 || !strings.Contains(v.Error(), string(v.Rule)) {
+					t.Errorf("violation %v with events %v", v, v.Events)
 				}
 			}
 		})
--- a/internal/sim/virtualtime/simulation_test.go
+++ b/internal/sim/virtualtime/simulation_test.go
@@ -39,13 +39,13 @@
 	return &sc
 }
 
-// reportViolations fails the test with the violations of a run and logs the events around the first.
+// reportViolations fails the test with the violations of a run and logs the events around the first violation.
 func reportViolations(t testing.TB, sc *scenario.Scenario, r *result.Result) {
 	t.Helper()
 	t.Errorf("%s, seed %d, %v: %v", r.Scenario, r.Seed, sc.Fault, r.ViolationCounts)
-	for _, b := range r.Violations[:min(len(r.Violations), 1)] {
-		t.Log(b)
-		for _, e := range b.Events {
+	for _, v := range r.Violations[:min(len(r.Violations), 1)] {
+		t.Log(v)
+		for _, e := range v.Events {
 			t.Log(e)
 		}
 	}
@@ -67,7 +67,7 @@
 	checkRandomScenarios(t, 24, 15)
 }
 
-// abandonedCalls follows calls that are abandoned before the deadline that the caller gave.
+// abandonedCalls tracks calls that are abandoned before the deadline that the caller set.
 type abandonedCalls struct {
 	t              *testing.T
 	seed           uint64
@@ -94,8 +94,8 @@
 	}
 }
 
-// No invariant is violated if half of the callers abandon their calls before the deadline, in whatever state the calls
-// are: no attempt follows, and a retry is another call.
+// No invariant is violated if half of the callers abandon their calls before the deadline, in any state of the calls:
+// no attempt follows, and a retry is another call.
 func TestNoViolationsByEarlyAbandonment(t *testing.T) {
 	t.Parallel()
 	abandoned, withoutAttempt := 0, 0
@@ -113,7 +113,7 @@
 		withoutAttempt += calls.withoutAttempt
 	}
 	if abandoned < 1000 || withoutAttempt < 50 {
-		t.Errorf("%d calls abandoned, %d of them without an open attempt: too few to show anything",
+		t.Errorf("%d calls abandoned, %d of them without an open attempt: too few for this test",
 			abandoned, withoutAttempt)
 	}
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// A run from a seed repeats byte for byte under random faults, on any number of cores. (Iteration over a map in
-// call.Manager once made this test fail.)
+// Under random faults, a run is reproducible byte for byte from its seed, on any number of cores. Iteration over a map
+// in call.Manager broke this once.
 func TestDeterminism(t *testing.T) {
 	allCores := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(allCores)
@@ -143,7 +143,7 @@
 		if want == nil {
 			want = b.Bytes()
 		} else if !bytes.Equal(want, b.Bytes()) {
-			t.Errorf("on %d cores the runs differ", cores)
+			t.Errorf("on %d cores: the results differ from those on one core", cores)
 		}
 	}
 }
