--- a/internal/sim/eventqueue/eventqueue.go
+++ b/internal/sim/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue holds the future events of a simulation in the order of their due times. Events that are due at
-// the same time come out in the order in which they were pushed, so that a run from a seed repeats byte for byte. The
-// package keeps no clock and never runs an event: its owner does.
+// Package eventqueue holds the future events of a simulation, ordered by due time. Events that are due at the same time
+// are returned in the order in which they were pushed, so that a run is reproducible byte for byte from its seed. The
+// queue has no clock and runs no events; its owner does both.
 package eventqueue
 
 import (
--- a/internal/sim/eventqueue/eventqueue_test.go
+++ b/internal/sim/eventqueue/eventqueue_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// Events come out by due time, and those of one time in the order in which they were pushed.
+// Events are popped by due time, and events of the same time in the order in which they were pushed.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type event struct {
@@ -31,21 +31,21 @@
 			}
 			slices.SortStableFunc(want, byDueTime)
 			if queue.NextTime() != want[0].due {
-				t.Fatalf("next at %v, want %v", queue.NextTime(), want[0].due)
+				t.Fatalf("NextTime() = %v, want %v", queue.NextTime(), want[0].due)
 			}
 			if _, got := queue.Pop(); got != want[0] {
-				t.Fatalf("%v, want %v", got, want[0])
+				t.Fatalf("popped %v, want %v", got, want[0])
 			}
 			want = want[1:]
 		}
 		slices.SortStableFunc(want, byDueTime)
 		for _, w := range want {
 			if _, got := queue.Pop(); got != w {
-				t.Fatalf("%v, want %v", got, w)
+				t.Fatalf("popped %v, want %v", got, w)
 			}
 		}
 		if queue.Len() != 0 || queue.NextTime() != Never {
-			t.Fatalf("%d are left", queue.Len())
+			t.Fatalf("%d events are left in the queue", queue.Len())
 		}
 	})
 }
