--- a/internal/sim/modelcheck/modelcheck_test.go
+++ b/internal/sim/modelcheck/modelcheck_test.go
@@ -12,7 +12,7 @@
 		b.Calls, b.Servers, b.MaxAttempts, r.States, r.Transitions, r.Depth, r.IsComplete)
 }
 
-// The call manager keeps its invariants in all orders of events and with all decisions.
+// The call manager violates no invariant in any order of events and with any decisions, within the bounds.
 func TestAllOrders(t *testing.T) {
 	t.Parallel()
 	for _, b := range []Bounds{
@@ -27,23 +27,23 @@
 	}
 }
 
-// uncanceling does not send cancels.
-type uncanceling struct{ call.Backends }
+// backendsWithoutCancel discards cancels.
+type backendsWithoutCancel struct{ call.Backends }
 
-func (uncanceling) Cancel(string, string, int) bool { return false }
+func (backendsWithoutCancel) Cancel(string, string, int) bool { return false }
 
-// A seeded violation is found with the fewest events that show it.
+// A seeded violation is found, with a counterexample of at most three events.
 func TestSeededViolation(t *testing.T) {
 	t.Parallel()
 	r := Run(Bounds{
 		Calls: 1, Servers: 2, MaxAttempts: 2, MaxDepth: 6, MaxStates: 60_000,
-		WrapBackends: func(b call.Backends) call.Backends { return uncanceling{b} },
+		WrapBackends: func(b call.Backends) call.Backends { return backendsWithoutCancel{b} },
 	})
 	if r.Counterexample == nil {
-		t.Fatalf("not found in %d states", r.States)
+		t.Fatalf("no violation found in %d states", r.States)
 	}
 	if len(r.Counterexample.Events) > 3 {
-		t.Errorf("%v", r.Counterexample)
+		t.Errorf("the counterexample is too long: %v", r.Counterexample)
 	}
 }
 
