--- a/internal/sim/modelcheck/callstate.go
+++ b/internal/sim/modelcheck/callstate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// callState is a call as its caller and the connections show it.
+// callState is the state of a call as observed by its caller and on the connections.
 type callState struct {
 	isOffered         bool
 	hasCallerReleased bool
@@ -35,7 +35,7 @@
 	return c.openServer == server && c.attemptNumber == number
 }
 
-// serverAttempt is an attempt as its server knows it.
+// serverAttempt is the state of an attempt at its server.
 type serverAttempt struct {
 	call, server, number int
 	isCanceled           bool
@@ -47,7 +47,7 @@
 	return cmp.Or(a.call-b.call, a.server-b.server, a.number-b.number)
 }
 
-// stateKey identifies the state: two states with the same key behave alike from then on.
+// stateKey identifies the state. Two states with the same key behave alike from then on.
 func (m *model) stateKey() string {
 	var b strings.Builder
 	for i := range m.calls {
@@ -64,7 +64,7 @@
 	return b.String()
 }
 
-// callKey identifies the state of one call. Times count as long as they matter, relative to now.
+// callKey identifies the state of one call. It includes deadlines relative to now, as long as they have an effect.
 func (m *model) callKey(c *callState) string {
 	remaining, attemptRemaining := time.Duration(0), time.Duration(0)
 	if c.isOpen() {
--- a/internal/sim/modelcheck/environment.go
+++ b/internal/sim/modelcheck/environment.go
@@ -7,7 +7,8 @@
 	"olivedale/internal/call"
 )
 
-// decide returns the decision that the present event says.
+// decide returns the decision on a call that the current event prescribes. A set-up beyond MaxAttempts
+// becomes DecisionNone.
 func (m *model) decide(id string) admission.Decision {
 	c := &m.calls[indexOf(id)]
 	d := admission.Decision{CallID: id, Kind: m.nextDecision.kind, Wait: attemptTimeout}
@@ -63,13 +64,13 @@
 	index := indexOf(s.ID)
 	c := &m.calls[index]
 	if c.hasOpenAttempt() {
-		m.fail("c%d is sent to %s while its attempt %d is open at x%d", index, server, c.attemptNumber, c.openServer)
+		m.fail("set-up of c%d sent to %s while attempt %d is open at x%d", index, server, c.attemptNumber, c.openServer)
 	}
 	if c.finalAnswers > 0 || !c.isCallerConnected() {
-		m.fail("c%d is sent to %s after its end", index, server)
+		m.fail("set-up of c%d sent to %s after the end of the call", index, server)
 	}
 	if s.Timeout <= 0 || m.now >= c.deadline {
-		m.fail("c%d is sent to %s with no time left", index, server)
+		m.fail("set-up of c%d sent to %s with no time left", index, server)
 	}
 	c.openServer = indexOf(server)
 	c.attemptNumber = s.Attempt
@@ -82,7 +83,7 @@
 func (b backends) Cancel(server, id string, attempt int) (unsent bool) {
 	c := &b.m.calls[indexOf(id)]
 	if !c.isOpenAttempt(indexOf(server), attempt) {
-		b.m.fail("a cancel of %s to %s, where no attempt is open", id, server)
+		b.m.fail("cancel of %s sent to %s, where the attempt is not open", id, server)
 	}
 	c.openServer = noServer
 	if a := b.m.findAttempt(indexOf(id), indexOf(server), attempt); a != nil {
@@ -110,7 +111,7 @@
 	c := &cl.m.calls[indexOf(id)]
 	c.isEstablished = true
 	if !c.hasOpenAttempt() {
-		cl.m.fail("%s is established without an open attempt", id)
+		cl.m.fail("%s established without an open attempt", id)
 	}
 }
 
@@ -127,13 +128,13 @@
 	c := &cl.m.calls[indexOf(id)]
 	c.finalAnswers++
 	if c.finalAnswers > 1 {
-		cl.m.fail("a second final answer to %s", id)
+		cl.m.fail("second final answer to %s", id)
 	}
 	if !c.isCallerConnected() {
-		cl.m.fail("a final answer to %s, which its caller has abandoned", id)
+		cl.m.fail("final answer to %s after its caller released it or disconnected", id)
 	}
 	if cl.m.now > c.deadline {
-		cl.m.fail("a final answer to %s after its deadline", id)
+		cl.m.fail("final answer to %s after its deadline", id)
 	}
 }
 
@@ -144,7 +145,7 @@
 func (f frontend) NotifyRelease(_ call.Client, id string, _ int) {
 	c := &f.m.calls[indexOf(id)]
 	if !c.isEstablished || c.isReleased {
-		f.m.fail("a release of %s, which is not established", id)
+		f.m.fail("release of %s, which is not established or already released", id)
 	}
 	c.isReleased = true
 }
--- a/internal/sim/modelcheck/event.go
+++ b/internal/sim/modelcheck/event.go
@@ -17,7 +17,7 @@
 	attemptReset    // the attempt ends with its connection
 	serverReleased  // a server ends an established call, or one whose answer was lost
 	serverRestarted
-	decisionDue // the decision module makes a decision that no other event asked for
+	decisionDue // the decision module makes a decision unprompted, on its next tick
 	timePassed  // until the next deadline of the call manager
 )
 
@@ -28,10 +28,10 @@
 	}[k]
 }
 
-// decision is what the decision module decides if an event makes the call manager ask.
+// decision is the decision that the module returns if the call manager asks for one during an event.
 type decision struct {
 	kind   admission.DecisionKind
-	server int // set for admission.Send
+	server int // set for admission.DecisionSend
 }
 
 func (d decision) String() string {
@@ -70,7 +70,7 @@
 	return s + e.decision.String()
 }
 
-// enabledEvents returns all events that are possible in the present state.
+// enabledEvents returns all events that are possible in the current state.
 func (m *model) enabledEvents() []event {
 	events := m.callerEvents()
 	events = append(events, m.attemptEvents()...)
@@ -86,7 +86,7 @@
 	return events
 }
 
-// withDecisions returns an event with each decision that the module can make.
+// withDecisions returns an event once with each decision that the module can make.
 func (m *model) withDecisions(e event) []event {
 	decisions := []decision{
 		{kind: admission.DecisionNone},
@@ -104,7 +104,8 @@
 	return events
 }
 
-// callerEvents returns the events of calls. Calls are alike, so they are offered in the order of their index.
+// callerEvents returns the events that start from callers. Calls are interchangeable, so they are offered in the order
+// of their index.
 func (m *model) callerEvents() (events []event) {
 	for i := range m.calls {
 		c := &m.calls[i]
@@ -127,7 +128,7 @@
 	return events
 }
 
-// attemptEvents returns the events of the attempts that servers know.
+// attemptEvents returns the events of the attempts that are not over at their servers.
 func (m *model) attemptEvents() (events []event) {
 	for _, a := range m.attempts {
 		if a.isOver {
--- a/internal/sim/modelcheck/model.go
+++ b/internal/sim/modelcheck/model.go
@@ -13,13 +13,13 @@
 	callerPatience = 3 * time.Second
 	attemptTimeout = time.Second
 
-	never               = 1 << 62 // the deadline of a decision module that has none
+	never               = 1 << 62 // deadline of a decision module without one
 	maxDeadline         = 1 << 61 // a later deadline of the call manager means none
-	maxCompletionEvents = 64      // ticks after which all calls must have their final answer
+	maxCompletionEvents = 64      // all calls must have their final answer within this many ticks
 )
 
-// model is a call manager with its environment: callers, servers and a decision module that decides what the present
-// event says. It checks the invariants.
+// model is a call manager with its environment: callers, servers and a decision module that makes the decision of the
+// current event. It checks the invariants.
 type model struct {
 	bounds           Bounds
 	now              time.Duration
@@ -50,10 +50,10 @@
 
 func serverID(index int) string { return fmt.Sprint("x", index) }
 
-// indexOf returns the index of a call or a server. It is one digit.
+// indexOf returns the index of a call or a server from its ID. The index is one digit, so there are at most ten.
 func indexOf(id string) int { return int(id[len(id)-1] - '0') }
 
-// fail records the first violation.
+// fail records a violation, unless there was an earlier one.
 func (m *model) fail(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
@@ -68,7 +68,7 @@
 	return slices.ContainsFunc(m.attempts, func(a serverAttempt) bool { return a.server == server && !a.isOver })
 }
 
-// findAttempt returns an attempt, or nil if its server does not know it.
+// findAttempt returns an attempt, or nil if it was never sent to the server.
 func (m *model) findAttempt(callIndex, server, number int) *serverAttempt {
 	i := slices.IndexFunc(m.attempts, func(a serverAttempt) bool {
 		return a.call == callIndex && a.server == server && a.number == number
@@ -162,7 +162,7 @@
 	return true
 }
 
-// closeReleasedCalls frees the servers of calls that were established and are over.
+// closeReleasedCalls clears the servers of established calls that have been released.
 func (m *model) closeReleasedCalls() {
 	for i := range m.calls {
 		if m.calls[i].isReleased {
@@ -171,7 +171,7 @@
 	}
 }
 
-// runToCompletion lets time pass without further events and decisions, and checks that each caller gets a final answer.
+// runToCompletion lets time pass without other events and decisions, and checks that each caller gets a final answer.
 func (m *model) runToCompletion() {
 	for range maxCompletionEvents {
 		if m.manager.OpenCalls() == 0 || m.violation != "" {
@@ -179,13 +179,13 @@
 		}
 		m.nextDecision = decision{kind: admission.DecisionNone}
 		if !m.passTime() {
-			m.fail("%d calls are open and have no deadline", m.manager.OpenCalls())
+			m.fail("%d calls are open, but the call manager has no deadline", m.manager.OpenCalls())
 			return
 		}
 	}
 	for i := range m.calls {
 		if m.calls[i].isOpen() {
-			m.fail("c%d has no final answer at the end", i)
+			m.fail("c%d has no final answer after all deadlines have passed", i)
 		}
 	}
 }
--- a/internal/sim/modelcheck/modelcheck.go
+++ b/internal/sim/modelcheck/modelcheck.go
@@ -1,7 +1,7 @@
-// Package modelcheck is a model checker for the call manager: it explores all orders of events that a few calls, a few
-// servers and faults between them can bring, up to a bound, and checks the invariants in each state. The decision
-// module is part of the environment and may decide anything at any time, so what holds here holds for every decision
-// module.
+// Package modelcheck is a model checker for the call manager: it explores all sequences of events that a few calls, a
+// few servers and faults between them can cause, up to a bound, and checks the invariants in each state. The decision
+// module is part of the environment and may make any decision at any time, so an invariant that holds here holds with
+// every decision module.
 //
 // The search is breadth-first over the observable states; each state is reached by replaying its events from the start.
 package modelcheck
@@ -18,13 +18,13 @@
 	Calls       int
 	Servers     int
 	MaxAttempts int // of each call
-	MaxDepth    int // events in a row
-	MaxStates   int // the search ends here and is incomplete
-	// WrapBackends wraps the backends of the call manager. Tests violate invariants with it.
+	MaxDepth    int // events in a sequence
+	MaxStates   int // the search stops at this number and is incomplete
+	// WrapBackends wraps the backends of the call manager. Tests use it to violate invariants.
 	WrapBackends func(call.Backends) call.Backends
 }
 
-// Result sums up a search.
+// Result summarizes a search.
 type Result struct {
 	States         int // distinct states
 	Transitions    int
@@ -44,7 +44,8 @@
 	return c.Violation + " after\n  " + strings.Join(c.Events, "\n  ")
 }
 
-// Run explores all sequences of events within the bounds. A counterexample has the fewest events that show a violation.
+// Run explores all sequences of events within the bounds. A counterexample is a shortest sequence that shows a
+// violation.
 func Run(bounds Bounds) Result {
 	s := &search{bounds: bounds, seen: make(map[string]bool)}
 	s.seen[newModel(bounds).stateKey()] = true
@@ -64,7 +65,7 @@
 // path is the sequence of events that leads to a state.
 type path []event
 
-// with returns the path with one more event.
+// with returns a copy of the path with one more event.
 func (p path) with(e event) path { return append(slices.Clone(p), e) }
 
 type search struct {
@@ -74,7 +75,7 @@
 	isStopped bool // by a counterexample or by MaxStates
 }
 
-// replay returns a model after a path.
+// replay returns a new model after the events of a path.
 func (s *search) replay(p path) *model {
 	m := newModel(s.bounds)
 	for _, e := range p {
@@ -83,7 +84,7 @@
 	return m
 }
 
-// expandAll returns the paths to all new states that follow a set of paths.
+// expandAll returns the paths to all new states that are one event after a set of paths.
 func (s *search) expandAll(frontier []path) (next []path) {
 	for _, p := range frontier {
 		for _, e := range s.replay(p).enabledEvents() {
@@ -99,7 +100,7 @@
 	return next
 }
 
-// visit checks the state after a path and reports whether it is a new state.
+// visit checks the state after a path and reports whether the search continues from it.
 func (s *search) visit(p path) bool {
 	m := s.replay(p)
 	s.result.Transitions++
@@ -125,7 +126,7 @@
 	return true
 }
 
-// checkTermination returns the violation that appears after a path if only time passes; "" means none.
+// checkTermination returns the violation that occurs if only time passes after a path; "" means none.
 func (s *search) checkTermination(p path) string {
 	m := s.replay(p)
 	m.runToCompletion()
