--- a/internal/sim/overloadpeers/byzantine.go
+++ b/internal/sim/overloadpeers/byzantine.go
@@ -14,8 +14,8 @@
 	byzantineInterval   = 500 * time.Millisecond // between two rounds of false messages
 )
 
-// byzantinePeer is a controller that is a valid member and sends false load reports and limit updates to all others:
-// that every server is overloaded, or that none is. It implements virtualtime.Peer.
+// byzantinePeer is a valid member of the fleet that sends false load reports and limit updates to all others. They
+// claim that every server is overloaded, or that none is. It implements virtualtime.Peer.
 type byzantinePeer struct {
 	self             int
 	peers            int // controllers of the fleet
--- a/internal/sim/overloadpeers/datagram.go
+++ b/internal/sim/overloadpeers/datagram.go
@@ -2,8 +2,8 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// The datagrams are encoded here once more, by the format in docs/design/overload.md, so that the product has no code
-// for false messages.
+// The datagrams are encoded here independently of the product, in the format of docs/design/overload.md, so that the
+// product contains no code for false messages.
 
 const protocolVersion = 1
 
@@ -13,18 +13,18 @@
 	kindLimitUpdate = 2
 )
 
-// Masks of a server's sample in a load report: a bit for each count that follows.
+// Bits in the mask of a server's sample in a load report: one for each count that follows.
 const (
 	maskOffered    = 1<<priorityCount - 1 // one bit for each priority
 	maskAnswered   = 1 << 5
 	maskWait       = 1 << 6
-	maskOverloaded = 1 << 7 // no count: the sender found the server overloaded
+	maskOverloaded = 1 << 7 // without a count: the sender found the server overloaded
 )
 
 const (
 	priorityCount      = 4
-	maxReportedServers = 12 // they fit into one load report
-	maxLimitedServers  = 24 // they fit into one limit update
+	maxReportedServers = 12 // fit into one load report
+	maxLimitedServers  = 24 // fit into one limit update
 	claimedMembers     = 1
 
 	reportSpan      = 50 // of the load report, in 10 ms
@@ -33,13 +33,13 @@
 	shortWait       = 1    // in 10 ms
 	longWait        = 3000 // in 10 ms
 	lightLimitWait  = 10   // wait of a light limit, in 10 ms
-	throttledUpTo   = 2    // the priority of a heavy throttle
+	throttledUpTo   = 2    // priority of a heavy limit; calls up to it are throttled
 	heavyThrottle   = 250  // in 255ths
 	minimalThrottle = 1    // in 255ths
 )
 
-// FalseLoadReport returns a false load report of the controller self. It claims that the controller offered many
-// calls of each priority to each server, and that all were answered at once; or, with claimsOverloaded, that none has
+// FalseLoadReport returns a false load report of the controller self. It claims that the controller offered many calls
+// of each priority to each server, and that all of them were answered at once or, with claimsOverloaded, that none has
 // been answered for half a minute.
 func FalseLoadReport(self int, incarnation, sequence uint32, serverKeys []uint32, claimsOverloaded bool) []byte {
 	const hasOverloadEvidence = 1
@@ -69,8 +69,8 @@
 	return protowire.AppendVarint(b, shortWait)
 }
 
-// FalseLimitUpdate returns a false limit update of the controller self. It claims that the servers are hardly
-// overloaded and everything may be sent; or, with claimsOverloaded, it throttles nearly all calls.
+// FalseLimitUpdate returns a false limit update of the controller self. It claims that the servers are barely
+// overloaded and throttles next to nothing or, with claimsOverloaded, it throttles nearly all calls.
 func FalseLimitUpdate(self int, incarnation, sequence uint32, serverKeys []uint32, claimsOverloaded bool) []byte {
 	b := appendHeader(nil, kindLimitUpdate, self, incarnation, sequence)
 	b = protowire.AppendVarint(b, claimedMembers)
--- a/internal/sim/overloadpeers/overloadpeers.go
+++ b/internal/sim/overloadpeers/overloadpeers.go
@@ -1,6 +1,6 @@
 // Package overloadpeers runs the product's distributed overload control (package overload) among the controllers of a
 // virtual-time simulation, with byzantine peers if the scenario has them. The simulation itself does not depend on it,
-// so it can also run decision modules that share nothing.
+// so it can also run controllers without overload control.
 package overloadpeers
 
 import (
@@ -10,14 +10,14 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// honestPeer is a controller that takes part as the product does. It implements virtualtime.Peer.
+// honestPeer is a controller that runs the product's overload control. It implements virtualtime.Peer.
 type honestPeer struct {
 	member *overload.Member
 	send   virtualtime.SendFunc
 }
 
-// Start starts the overload control of one controller. It is a value for virtualtime.Options.Share. The controllers
-// with the lowest indexes are byzantine, as many as Fleet.ByzantineShare of the scenario says.
+// Start starts the overload control of one controller. It is meant for virtualtime.Options.StartPeer. The controllers
+// with the lowest indexes are byzantine; Fleet.ByzantineShare of the scenario sets their share of the fleet.
 func Start(cfg virtualtime.PeerConfig) virtualtime.Peer {
 	fleet := &cfg.Scenario.Fleet
 	byzantinePeers := int(fleet.ByzantineShare * float64(fleet.Controllers))
--- a/internal/sim/overloadpeers/overloadpeers_test.go
+++ b/internal/sim/overloadpeers/overloadpeers_test.go
@@ -15,7 +15,7 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// shrunkScenarios returns the scenarios of large fleets with few controllers and a short length.
+// shrunkScenarios returns the scenarios of large fleets with fewer controllers and a shorter run.
 func shrunkScenarios(t testing.TB, controllers int, length time.Duration) (scenarios []*scenario.Scenario) {
 	t.Helper()
 	paths, err := filepath.Glob("../../../deploy/sim/many/*.toml")
@@ -46,8 +46,8 @@
 	return string(b)
 }
 
-// Overload control violates no invariant, whatever part of the messages is lost or false, and a run from a seed
-// repeats byte for byte.
+// Overload control violates no invariant, whatever share of its messages is lost or false, and a run is reproducible
+// byte for byte from its seed.
 func TestSharingViolatesNoInvariant(t *testing.T) {
 	t.Parallel()
 	for i, base := range shrunkScenarios(t, 40, 14*time.Second) {
@@ -90,7 +90,7 @@
 	return &sc
 }
 
-// Callers of controllers that see three times as many calls as others are served as well as theirs.
+// Callers of controllers that receive three times as many calls as others are served as well as the others' callers.
 func TestSharingIsFair(t *testing.T) {
 	t.Parallel()
 	sc := shrunkScenarios(t, 100, 20*time.Second)[2]
@@ -101,7 +101,7 @@
 	}
 }
 
-// observedPeer passes the state of an honest peer to a function after each tick.
+// observedPeer calls observe with the state of an honest peer after each tick.
 type observedPeer struct {
 	virtualtime.Peer
 	controller int
@@ -115,15 +115,15 @@
 	}
 }
 
-// runEpoch is what the controllers' clocks show at the start of a run.
+// runEpoch is the reading of the controllers' clocks at the start of a run.
 const runEpoch = 1000 * time.Hour
 
-// throttleDetector finds out how long after servers slow down half of the controllers throttle one of them.
+// throttleDetector measures the delay from the slowdown of servers until half of the controllers throttle one of them.
 type throttleDetector struct {
 	controllers  int
 	slowdownAt   time.Duration
 	throttledBy  map[string]map[int]bool // controllers that throttle a server
-	wasThrottled map[string]bool         // servers that were throttled before the slowdown, for another reason
+	wasThrottled map[string]bool         // servers that were already throttled before the slowdown
 	delay        time.Duration           // 0: not found yet
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// BenchmarkHalfThrottles reports how long after servers slow down half of 300 controllers throttle one of them:
+// BenchmarkHalfThrottles reports the delay from a slowdown of servers until half of 300 controllers throttle one:
 // go test -run '^$' -bench HalfThrottles -benchtime 1x ./internal/sim/overloadpeers
 func BenchmarkHalfThrottles(b *testing.B) {
 	for range b.N {
