--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -15,7 +15,7 @@
 	`"domain":{"topology":"pools","releaseGuard":150,"skilledPools":[[0,2]],"thisNode":-1},` +
 	`"limits":{"maxAttempts":2,"cancel":true},"safety":{"startCapacity":0.5,"cold":9000}}]`
 
-// line returns a line with the items of one node.
+// line returns a line with items for one node.
 func line(items string) []byte {
 	return []byte(`{"atTime":1000.25,"nodes":[{"node":2,"items":[` + items + `]}]}`)
 }
@@ -70,12 +70,12 @@
 	}
 }
 
-// A list number is used again within a batch; it means the latest PAGE before the MEMBERS row.
+// List numbers are reused within a batch: a number means the latest PAGE row before the MEMBERS row.
 func TestPageNumbersAreReused(t *testing.T) {
 	items := decodeOne(t, &Decoder{}, `["PAGE",0,[["a","z","k",0,"IN",1,null]]],["MEMBERS","full",0,1],`+
 		`["PAGE",0,[["b","z","k",1,"LAME",1,6100.5]]],["MEMBERS","delta",0,2],["MEMBERS","failed",9,2],["KILL"]`)
 	if len(items) != 4 || !items[3].Kill || !items[2].Event.(admission.ServersUpdated).Failed {
-		t.Fatalf("got %d items, want three lists and a kill", len(items))
+		t.Fatalf("got %d items, want three server updates, the last of them failed, and a kill", len(items))
 	}
 	first := items[0].Event.(admission.ServersUpdated)
 	second := items[1].Event.(admission.ServersUpdated)
@@ -113,12 +113,12 @@
 	}
 	for _, text := range []string{``, `[]`, `{"nodes":[]}`, `{"atTime":1,"nodes":[{"items":[]}]}`} {
 		if _, err := (&Decoder{}).Decode([]byte(text)); err == nil {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("%q was decoded without an error", text)
 		}
 	}
 }
 
-// Programs can find row and field of an error without reading its text.
+// A FieldError gives programs the row and the field of an error, so that they need not parse its text.
 func TestFieldError(t *testing.T) {
 	_, err := (&Decoder{}).Decode(line(`["GONE",null]`))
 	var fieldError *FieldError
@@ -147,7 +147,7 @@
 		t.Errorf("got %s (%v)\nwant %s", got, err, want)
 	}
 	if _, err := Encode([]Reply{{Actions: []admission.Action{nil}}}); err == nil {
-		t.Error("an unknown action was encoded")
+		t.Error("an unknown action was encoded without an error")
 	}
 }
 
@@ -162,8 +162,8 @@
 	})
 }
 
-// The settings say what a repeated call of a class does. An unknown value counts as the strictest; an absent one has
-// the meaning of a deployment without the keys.
+// The settings define whether and how calls of a class may be repeated. An unknown value counts as the strictest one; an
+// absent key means the same as in a deployment without these keys.
 func TestRepeatabilityOfClasses(t *testing.T) {
 	const text = `{"groupSize":1,"classes":[
 		{"name":"a","aim":1,"deadline":2,"effect":"side_effect","group":"all","dedupWindow":5},
@@ -189,13 +189,13 @@
 		"g": {Repeatability: admission.NonRepeatable, DeduplicationScope: admission.ScopePool},
 	}
 	if len(s.Classes) != len(want) || s.SlowStartFactor != 2 {
-		t.Errorf("%d classes, multiple %v", len(s.Classes), s.SlowStartFactor)
+		t.Errorf("%d classes, slow-start factor %v", len(s.Classes), s.SlowStartFactor)
 	}
-	for _, k := range s.Classes {
-		got := admission.Class{Repeatability: k.Repeatability, DeduplicationScope: k.DeduplicationScope,
-			DeduplicationWindow: k.DeduplicationWindow}
-		if !reflect.DeepEqual(got, want[k.Name]) {
-			t.Errorf("class %s: %+v, want %+v", k.Name, k, want[k.Name])
+	for _, c := range s.Classes {
+		got := admission.Class{Repeatability: c.Repeatability, DeduplicationScope: c.DeduplicationScope,
+			DeduplicationWindow: c.DeduplicationWindow}
+		if !reflect.DeepEqual(got, want[c.Name]) {
+			t.Errorf("class %s: got %+v, want %+v", c.Name, c, want[c.Name])
 		}
 	}
 }
