--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -7,13 +7,13 @@
 	"olivedale/internal/admission"
 )
 
-// A Decoder reads lines and keeps what later lines refer to. Its zero value is ready for use.
+// A Decoder decodes lines and keeps the server lists that later lines refer to. Its zero value is ready to use.
 type Decoder struct {
 	lines       int                        // read so far
 	serverLists map[int][]admission.Server // of PAGE rows, by number
 }
 
-// batchLine is the JSON form of a line.
+// batchLine is the JSON form of a line from the simulator.
 type batchLine struct {
 	AtTime *float64   `json:"atTime"` // milliseconds
 	Nodes  []nodeLine `json:"nodes"`
@@ -24,7 +24,7 @@
 	Items []json.RawMessage `json:"items"`
 }
 
-// Decode reads one line. Its error names the line, the row and the field.
+// Decode decodes one line. An error names the line and, where they apply, the row and the field.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	d.lines++
 	batch, err := d.decode(line)
@@ -74,7 +74,7 @@
 	return node, nil
 }
 
-// item reads one row. It returns nil for a row that is no item of the node.
+// item reads one row. It returns nil for a row that results in no item for the node.
 func (d *Decoder) item(text json.RawMessage) (*Item, error) {
 	r, err := parseRow(text)
 	if err != nil {
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -18,12 +18,12 @@
 	Decisions []decisionRow `json:"decisions"`
 }
 
-// A decisionRow is a name and the values that belong to it.
+// A decisionRow is the name of a decision followed by its values.
 type decisionRow []any
 
-// Encode returns the replies to one batch as a line with its newline. Nodes without decisions are left out.
+// Encode returns the replies to one batch as one line, including the newline. Nodes without decisions are omitted.
 func Encode(replies []Reply) ([]byte, error) {
-	line := replyLine{Nodes: []nodeReply{}} // not nil: null is no list
+	line := replyLine{Nodes: []nodeReply{}} // not nil, which would be encoded as null
 	for _, reply := range replies {
 		decisions, err := encodeActions(reply.Actions)
 		if err != nil {
@@ -37,7 +37,7 @@
 	encoder := json.NewEncoder(&buffer)
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(line); err != nil {
-		return nil, fmt.Errorf("encoding a reply: %w", err)
+		return nil, fmt.Errorf("encoding replies: %w", err)
 	}
 	return buffer.Bytes(), nil
 }
@@ -46,7 +46,7 @@
 	var rows []decisionRow
 	for _, action := range actions {
 		if _, isNotice := action.(admission.RateLimitChanged); isNotice {
-			continue // for the operators; the protocol has no row for it
+			continue // meant for operators; the protocol has no row for it
 		}
 		row, err := encodeAction(action)
 		if err != nil {
@@ -77,7 +77,7 @@
 	return nil, fmt.Errorf("action %T has no row in the protocol", action)
 }
 
-// encodeReject writes null for a rejection without a time to retry after.
+// encodeReject returns a BUSY row. Without a RetryAfter, its last value is null.
 func encodeReject(a admission.RejectCall) decisionRow {
 	if a.RetryAfter <= 0 {
 		return decisionRow{"BUSY", a.CallID, nil}
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// A FieldError is an error in one field of a row, of the line or of the settings.
+// A FieldError reports an invalid field of a row, of the line or of the settings.
 type FieldError struct {
 	Row   string // name of the row, or "batch" or "settings"
 	Field string // name of the field, as in the protocol
 	Err   error
 }
 
-// Error returns row, field and what is wrong with it.
+// Error returns the row, the field and the reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s: %v", e.Row, e.Field, e.Err) }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Errors of fields.
+// Reasons of a FieldError.
 var (
 	errMissing = errors.New("missing")
 	errNull    = errors.New("want a value, got null")
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -7,13 +7,13 @@
 	"olivedale/internal/admission"
 )
 
-// A rowFormat describes the rows of one name.
+// A rowFormat describes the rows with one name.
 type rowFormat struct {
-	values int // after the name
+	values int // number of values after the name
 	read   func(d *Decoder, r *row) *Item
 }
 
-// rowFormats maps the names of rows to their formats. The read functions name the values in their order.
+// rowFormats maps the names of rows to their formats. The comments of the read functions list the values in order.
 var rowFormats = map[string]rowFormat{
 	"START":    {2, readStart},
 	"KILL":     {0, readKill},
@@ -34,14 +34,14 @@
 	flagReestablish = 16
 )
 
-// The field clearCode of RETURNED holds the cause in its low bits and the wait until a retry, in milliseconds, in
-// the others.
+// The field clearCode of RETURNED holds the cause in its low bits and the delay before a retry, in milliseconds, in
+// the other bits.
 const (
 	causeBits = 4
 	causeMask = 1<<causeBits - 1
 )
 
-// attemptResults maps the field code of RETURNED; PROBED uses only codeDelivered.
+// attemptResults maps the values of the field code of RETURNED to results. Of these, PROBED uses only codeDelivered.
 var attemptResults = map[string]admission.AttemptResult{
 	codeDelivered: admission.ResultDelivered,
 	"app_error":   admission.ResultServerError,
@@ -60,7 +60,7 @@
 // readKill reads a row without values.
 func readKill(*Decoder, *row) *Item { return &Item{Kill: true} }
 
-// readCallOffered reads opId, work, farEnd, units, validUntil, flags, a value without use, entity, via, service.
+// readCallOffered reads opId, work, farEnd, units, validUntil, flags, an unused value, entity, via, service.
 func readCallOffered(_ *Decoder, r *row) *Item {
 	r.optionalFloat(2, "work")
 	r.integer(4, "units")
@@ -128,7 +128,7 @@
 	return newEvent(e)
 }
 
-// failureCause reads a cause; the protocol uses the numbers of the constants. An unknown one counts as none.
+// failureCause returns the cause of a code, which is the number of the constant. An unknown code means CauseNone.
 func failureCause(code int) admission.FailureCause {
 	switch cause := admission.FailureCause(code); cause {
 	case admission.CauseNoCircuit, admission.CauseReturned, admission.CauseProcessorBusy,
@@ -144,8 +144,8 @@
 	return newEvent(admission.TimerFired{Key: r.int64(1, "keyBack")})
 }
 
-// readMessage reads sender and content of a message from another node. The decision module sends no messages and has
-// no use for them.
+// readMessage checks the sender and the content of a message from another node and discards it: the decision module
+// uses no messages.
 func readMessage(_ *Decoder, r *row) *Item {
 	r.integer(1, "sender")
 	r.text(2, "content")
--- a/internal/simproto/row.go
+++ b/internal/simproto/row.go
@@ -16,7 +16,7 @@
 	err   error
 }
 
-// parseRow splits a row and reads its name.
+// parseRow splits a row into its values and reads its name.
 func parseRow(text json.RawMessage) (*row, error) {
 	var cells []json.RawMessage
 	if err := json.Unmarshal(text, &cells); err != nil || len(cells) == 0 {
@@ -100,10 +100,10 @@
 	return value[string](r, i, field)
 }
 
-// loadValues is a load report as the protocol writes it. Keys that loadReport does not read are ignored.
+// loadValues is the JSON form of a load report. Keys that loadReport does not read are ignored.
 type loadValues map[string]*float64
 
-// optional returns the value of a key in another unit; one that is missing, null or negative is not valid.
+// optional returns the value of a key, multiplied by unit. A value that is missing, null or negative is not valid.
 func (l loadValues) optional(key string, unit float64) admission.Optional {
 	v := l[key]
 	if v == nil || *v < 0 {
@@ -112,7 +112,7 @@
 	return admission.Optional{Value: *v * unit, Valid: true}
 }
 
-// loadReport reads a load report; null is one without valid values.
+// loadReport reads a load report. For null it returns one without valid values.
 func (r *row) loadReport(i int, field string) admission.LoadReport {
 	if isNull(r.cells[i]) {
 		return admission.LoadReport{}
--- a/internal/simproto/serverlist.go
+++ b/internal/simproto/serverlist.go
@@ -7,25 +7,25 @@
 	"olivedale/internal/admission"
 )
 
-// A PAGE row gives a server list a number; a MEMBERS row later in the stream refers to it. Numbers are used again:
-// a number means the latest list before the MEMBERS row.
+// A PAGE row assigns a number to a server list; a MEMBERS row later in the stream refers to it. Numbers are reused:
+// a number in a MEMBERS row means the latest list before the row.
 
 // Values of the field how of MEMBERS.
 const (
 	updateFailed = "failed" // there is no list
 	updateDelta  = "delta"  // only the changes
 	updateFull   = "full"   // all servers
-	updateCached = "cached" // all servers, of an earlier time
+	updateCached = "cached" // all servers, as of an earlier time
 )
 
-// serverStates maps the field phase of a server.
+// serverStates maps the values of the field phase of a server to states.
 var serverStates = map[string]admission.ServerState{
 	"IN":   admission.Active,
 	"LAME": admission.Draining,
 	"OUT":  admission.Removed,
 }
 
-// serverFields is how many values describe a server:
+// serverFields is the number of values that describe a server:
 // server, az, classOfHost, pointCode, phase, scale, lastStart.
 const serverFields = 7
 
@@ -65,7 +65,7 @@
 		update.Full = true
 		update.Cached = true
 	default:
-		r.fail("how", fmt.Errorf("unknown kind %q", how))
+		r.fail("how", fmt.Errorf("unknown kind of update %q", how))
 	}
 	return newEvent(update)
 }
@@ -75,7 +75,7 @@
 	var list []admission.Server
 	for _, cells := range value[[][]json.RawMessage](r, i, field) {
 		if len(cells) != serverFields {
-			r.fail(field, fmt.Errorf("want %d values an entry, got %d", serverFields, len(cells)))
+			r.fail(field, fmt.Errorf("want %d values per entry, got %d", serverFields, len(cells)))
 			return nil
 		}
 		entry := &row{name: r.name, cells: cells}
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -77,7 +77,7 @@
 	FallMultiple  float64      `json:"fallMultiple"`
 }
 
-// discoveryOnRequest is the value of discovery for servers that are announced only on request.
+// discoveryOnRequest is the value of the key discovery if servers are announced only on request.
 const discoveryOnRequest = "ask"
 
 // readStart reads seed, profileData.
@@ -93,7 +93,7 @@
 	return &Item{Start: start}
 }
 
-// ReadSettings reads the settings object that START carries. Its errors name the key.
+// ReadSettings decodes the settings object of a START row. Its errors name the key.
 func ReadSettings(text []byte) (admission.Settings, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -102,7 +102,7 @@
 	return in.convert()
 }
 
-// A durationReader converts durations and keeps the first error.
+// A durationReader converts the durations of settings and keeps the first error.
 type durationReader struct{ err error }
 
 func (d *durationReader) read(v milliseconds, key string) time.Duration {
@@ -113,7 +113,7 @@
 	return duration
 }
 
-// convert returns the settings of the decision module. Its error is a FieldError.
+// convert returns the settings for the decision module. An error is a FieldError.
 func (in *settings) convert() (admission.Settings, error) {
 	var durations durationReader
 	s := admission.Settings{
@@ -152,7 +152,7 @@
 	}
 }
 
-// repeatability reads classes.effect. An unknown value counts as the strictest.
+// repeatability converts classes.effect. An unknown value counts as the strictest one.
 func repeatability(effect string) admission.Repeatability {
 	switch effect {
 	case "", "pure":
@@ -163,7 +163,7 @@
 	return admission.NonRepeatable
 }
 
-// deduplicationScope reads classes.group. An unknown value counts as the narrowest.
+// deduplicationScope converts classes.group. An unknown value counts as the narrowest one.
 func deduplicationScope(group string) admission.DeduplicationScope {
 	switch group {
 	case "all":
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
 // Package simproto reads and writes the line protocol between the simulator and a process that hosts several nodes.
-// A line is a JSON object; events and decisions in it are rows, JSON arrays that begin with a name. The package
-// translates and checks rows; it decides nothing and knows no node.
+// A line is a JSON object. The events and decisions in it are rows: JSON arrays that begin with a name. The package
+// only validates and converts rows; it makes no decisions and holds no state of nodes.
 package simproto
 
 import "olivedale/internal/admission"
@@ -11,20 +11,20 @@
 	Nodes []Node
 }
 
-// A Node holds the items for one node in the order of arrival.
+// A Node holds the items for one node, in the order of arrival.
 type Node struct {
 	Number int
 	Items  []Item
 }
 
-// An Item is either Start, Kill or Event.
+// An Item is one of Start, Kill and Event.
 type Item struct {
 	Start *Start
 	Kill  bool // the node ends and loses its state
 	Event admission.Event
 }
 
-// Start begins a node without state.
+// Start starts a node without state.
 type Start struct {
 	Seed     uint64
 	Settings admission.Settings
--- a/internal/simproto/time.go
+++ b/internal/simproto/time.go
@@ -9,7 +9,7 @@
 // The protocol writes times and durations as milliseconds; the simulator's clock counts microseconds.
 const microsecondsPerMillisecond = 1000
 
-// maxMicroseconds bounds the times that the package reads, so that sums of two do not overflow.
+// maxMicroseconds bounds the times that are read, so that the sum of two does not overflow a time.Duration.
 const maxMicroseconds = math.MaxInt64 / 2000
 
 func toMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
