--- a/internal/sim/virtualtime/options.go
+++ b/internal/sim/virtualtime/options.go
@@ -32,10 +32,10 @@
 	Watch func(invariant.Event)
 }
 
-// Everyone addresses a datagram to all controllers but the sender.
-const Everyone = -1
+// Broadcast is the destination of a datagram to all controllers except the sender.
+const Broadcast = -1
 
-// SendFunc sends a datagram to the controller with an index, or to Everyone.
+// SendFunc sends a datagram to the controller with an index or, with Broadcast, to all others.
 type SendFunc func(to int, payload []byte)
 
 // ReceiveFunc handles a datagram of the controller with an index.
--- a/internal/sim/virtualtime/peers.go
+++ b/internal/sim/virtualtime/peers.go
@@ -68,14 +68,14 @@
 	})
 }
 
-// sendDatagram sends a datagram to one controller or to Everyone. The tally counts it once for each receiver, even if
-// it is lost.
+// sendDatagram sends a datagram to one controller or, with Broadcast, to all others. The tally counts it once for each
+// receiver, even if it is lost.
 func (c *controller) sendDatagram(to int, payload []byte) {
 	if len(payload) > maxDatagramSize {
 		panic(fmt.Sprintf("virtualtime: datagram of %d bytes exceeds the limit of %d", len(payload), maxDatagramSize))
 	}
 	for _, receiver := range c.sim.controllers {
-		isAddressed := to == Everyone || to == receiver.index
+		isAddressed := to == Broadcast || to == receiver.index
 		if isAddressed && receiver != c {
 			c.transmitDatagram(receiver, payload)
 		}
--- a/internal/sim/virtualtime/peers_test.go
+++ b/internal/sim/virtualtime/peers_test.go
@@ -49,7 +49,7 @@
 	}
 	l.lastRound = l.now
 	for i := range testControllers {
-		l.senders[i](Everyone, fmt.Append(nil, "from ", i))
+		l.senders[i](Broadcast, fmt.Append(nil, "from ", i))
 	}
 	l.senders[0](1, []byte("from 0"))
 }
