--- a/internal/sim/virtualtime/backendconns.go
+++ b/internal/sim/virtualtime/backendconns.go
@@ -130,5 +130,5 @@
 		c.manager.BackendReleased(e.id, m.Call, m.Cause, c.frontend)
 	case exchange.Canceled: // the manager no longer tracks an attempt that it canceled
 	}
-	c.settle()
+	c.scheduleTicks()
 }
--- a/internal/sim/virtualtime/controller.go
+++ b/internal/sim/virtualtime/controller.go
@@ -62,7 +62,7 @@
 	}
 	c.startManager(engine)
 	c.startOverloadControl(engine, seed)
-	c.settle()
+	c.scheduleTicks()
 }
 
 func (c *controller) startManager(engine *admission.Engine) {
@@ -119,8 +119,8 @@
 // after schedules an event after a delay. It is ignored if the controller ends before it.
 func (c *controller) after(delay time.Duration, event func()) { c.schedule(c.sim.now+delay, event) }
 
-// settle schedules the next ticks after an input.
-func (c *controller) settle() {
+// scheduleTicks schedules the next ticks of the call manager and the overload control. It is called after each input.
+func (c *controller) scheduleTicks() {
 	if !c.isRunning() {
 		return
 	}
@@ -140,7 +140,7 @@
 		c.nextWake = eventqueue.Never
 		c.lastTick = next
 		c.manager.Tick()
-		c.settle()
+		c.scheduleTicks()
 	})
 }
 
--- a/internal/sim/virtualtime/discovery.go
+++ b/internal/sim/virtualtime/discovery.go
@@ -51,7 +51,7 @@
 	for _, u := range updates {
 		c.applyUpdate(u)
 	}
-	c.settle()
+	c.scheduleTicks()
 }
 
 func (c *controller) applyUpdate(u admission.Server) {
--- a/internal/sim/virtualtime/links.go
+++ b/internal/sim/virtualtime/links.go
@@ -122,7 +122,7 @@
 	}
 	c.endAttempt(invariant.AttemptRejected, e, a)
 	c.manager.AttemptEnded(e.id, a.Call, a.Number, end)
-	c.settle()
+	c.scheduleTicks()
 }
 
 // endAttempt removes an attempt from openAttempts and records its end.
@@ -154,7 +154,7 @@
 		c.endAttempt(invariant.AttemptBroken, e, a)
 		c.manager.AttemptEnded(e.id, a.Call, a.Number, end)
 	}
-	c.settle()
+	c.scheduleTicks()
 }
 
 // resetExchange notifies an exchange that its connection to the controller is lost.
--- a/internal/sim/virtualtime/peers.go
+++ b/internal/sim/virtualtime/peers.go
@@ -64,7 +64,7 @@
 		}
 		o.nextWake = eventqueue.Never
 		o.peer.Tick(c.clock())
-		c.settle()
+		c.scheduleTicks()
 	})
 }
 
@@ -93,7 +93,7 @@
 	s.after(s.draw(s.scenario.Network.Peer), func() {
 		if receiver.isRunning() && receiver.overload.receive != nil {
 			receiver.overload.receive(c.index, datagram)
-			receiver.settle()
+			receiver.scheduleTicks()
 		}
 	})
 }
--- a/internal/sim/virtualtime/request.go
+++ b/internal/sim/virtualtime/request.go
@@ -91,7 +91,7 @@
 		Deadline:      epoch + deadline - answerMargin,
 		Reestablish:   r.caller.isRedial,
 	})
-	c.settle()
+	c.scheduleTicks()
 }
 
 // abandonRequest ends the caller's wait for the final answer and tells the controller.
@@ -108,7 +108,7 @@
 		}
 		c.record(invariant.Event{Kind: invariant.CallAbandoned, Call: r.id})
 		c.manager.ReleaseByCaller(r.id, call.CauseNormal)
-		c.settle()
+		c.scheduleTicks()
 	})
 }
 
