--- a/internal/sim/virtualtime/callerpool.go
+++ b/internal/sim/virtualtime/callerpool.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	arrivalWindow     = 100 * time.Millisecond // arrivals are generated for one window at a time
+	arrivalWindow     = 100 * time.Millisecond // the peak call rate is computed once per window
 	peakSamples       = 4                      // intervals of a window at whose ends the call rate is sampled
 	numbersPerServer  = 200_000
 	numberPrefix      = "5"
