--- a/internal/sim/overloadpeers/overloadpeers_test.go
+++ b/internal/sim/overloadpeers/overloadpeers_test.go
@@ -123,7 +123,7 @@
 	controllers  int
 	slowdownAt   time.Duration
 	throttledBy  map[string]map[int]bool // controllers that throttle a server
-	wasThrottled map[string]bool         // servers that were already throttled before the slowdown
+	wasThrottled map[string]bool         // servers throttled before the slowdown, for another reason
 	delay        time.Duration           // 0: not found yet
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// BenchmarkHalfThrottles reports the delay from a slowdown of servers until half of 300 controllers throttle one:
+// BenchmarkHalfThrottles reports the delay from a slowdown until half of 300 controllers throttle a slow server:
 // go test -run '^$' -bench HalfThrottles -benchtime 1x ./internal/sim/overloadpeers
 func BenchmarkHalfThrottles(b *testing.B) {
 	for range b.N {
