--- a/internal/sim/modelcheck/event.go
+++ b/internal/sim/modelcheck/event.go
@@ -17,7 +17,7 @@
 	attemptReset    // the attempt ends with its connection
 	serverReleased  // a server ends an established call, or one whose answer was lost
 	serverRestarted
-	decisionDue // the decision module makes a decision unprompted, on its next tick
+	decisionDue // the decision module makes a decision in a tick, which no other event asked for
 	timePassed  // until the next deadline of the call manager
 )
 
--- a/internal/sim/modelcheck/model.go
+++ b/internal/sim/modelcheck/model.go
@@ -13,7 +13,7 @@
 	callerPatience = 3 * time.Second
 	attemptTimeout = time.Second
 
-	never               = 1 << 62 // deadline of a decision module without one
+	never               = 1 << 62 // deadline of the decision module, which has none
 	maxDeadline         = 1 << 61 // a later deadline of the call manager means none
 	maxCompletionEvents = 64      // all calls must have their final answer within this many ticks
 )
@@ -185,7 +185,7 @@
 	}
 	for i := range m.calls {
 		if m.calls[i].isOpen() {
-			m.fail("c%d has no final answer after all deadlines have passed", i)
+			m.fail("c%d never gets a final answer", i)
 		}
 	}
 }
