--- a/cmd/olivedale/check.go
+++ b/cmd/olivedale/check.go
@@ -13,16 +13,16 @@
 // Results of check.
 const (
 	fileValid      = "good"
-	fileAbsent     = "not there, all it could switch on is off"
-	fileDeprecated = "not there, " + config.H248Path + " is used; move it to section [h248]"
+	fileAbsent     = "not found, optional features are off"
+	fileDeprecated = "not found, using the deprecated " + config.H248Path + "; move it to section [h248]"
 )
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check [FILE]",
-		Short: "Read the operator's file and start nothing",
-		Long: "check reads the operator's file, " + config.OperatorPath +
-			" if none is named, and reports the line and key of the first error.",
+		Short: "Validate the operator's configuration file",
+		Long: "check validates FILE, by default " + config.OperatorPath +
+			", and reports the line and key of the first error. It does not start the controller.",
 		Example: "  olivedale check deploy/olivedale.toml",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -36,7 +36,7 @@
 	}
 }
 
-// check reads the file that args name, or the operator's file in its place.
+// check validates the file that args name, or the operator's file at its default path.
 func check(args []string) (path, result string, err error) {
 	if len(args) == 1 {
 		path = args[0]
--- a/cmd/olivedale/deploy_test.go
+++ b/cmd/olivedale/deploy_test.go
@@ -24,12 +24,12 @@
 	return deploy
 }
 
-// buildAs runs the go build of a deploy command for cmd/olivedale alone and writes the program to path.
+// buildAs runs the go build command of the deploy file for cmd/olivedale only and writes the program to path.
 func buildAs(t *testing.T, root, deployBuild, path string) {
 	t.Helper()
 	_, command, found := strings.Cut(deployBuild, "&& ")
 	if !found || !strings.HasPrefix(command, "go build ") {
-		t.Fatalf("build = %q: want a directory made, then go build", deployBuild)
+		t.Fatalf("build = %q: want a command that creates the directory, then go build", deployBuild)
 	}
 	var args []string
 	for _, arg := range strings.Fields(command)[1:] {
@@ -48,20 +48,20 @@
 	}
 }
 
-// The platform loads a library into the process that `run` starts. This works only if `run` ends in a single process
-// that is linked dynamically against the C library.
+// The platform loads a library into the process that `run` starts. This works only if `run` executes as a single
+// process that is dynamically linked against the C library.
 func TestDeployBuildsOneDynamicProcess(t *testing.T) {
 	root := filepath.Join("..", "..")
 	deploy := readDeployFile(t, root)
 	if deploy.Run != "exec bin/olivedale" {
-		t.Errorf("run = %q does not end in the program's own process", deploy.Run)
+		t.Errorf("run = %q does not exec the program", deploy.Run)
 	}
 	makefile, err := os.ReadFile(filepath.Join(root, "Makefile"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(makefile), "\nbuild:\n\t"+deploy.Build+"\n") {
-		t.Errorf("make build is not the deploy file's build, %q", deploy.Build)
+		t.Errorf("make build does not run the deploy file's build command, %q", deploy.Build)
 	}
 	path := filepath.Join(t.TempDir(), "olivedale")
 	buildAs(t, root, deploy.Build, path)
@@ -77,7 +77,7 @@
 	t.Helper()
 	isInterpreter := func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }
 	if !slices.ContainsFunc(program.Progs, isInterpreter) {
-		t.Error("the program names no interpreter: it is linked statically")
+		t.Error("the program has no interpreter segment: it is statically linked")
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil {
@@ -85,16 +85,16 @@
 	}
 	isLibc := func(library string) bool { return strings.HasPrefix(library, "libc.so") }
 	if !slices.ContainsFunc(libraries, isLibc) {
-		t.Errorf("the program needs %v, not the C library", libraries)
+		t.Errorf("the program imports the libraries %v, not the C library", libraries)
 	}
 	symbols, err := program.ImportedSymbols()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Go's own linker can also make a program that loads the C library, but the entry point is Go's then. Only the
-	// system's linker starts the program with the C library.
+	// Go's internal linker can also produce a program that loads the C library, but with Go's own entry point. Only
+	// with the system's linker does the C library start the program.
 	isLibcStart := func(s elf.ImportedSymbol) bool { return s.Name == "__libc_start_main" }
 	if !slices.ContainsFunc(symbols, isLibcStart) {
-		t.Error("the program was not linked externally with cgo: it does not start by the C library")
+		t.Error("the program was not linked externally with cgo: the C library does not start it")
 	}
 }
--- a/cmd/olivedale/golden_test.go
+++ b/cmd/olivedale/golden_test.go
@@ -20,14 +20,14 @@
 	c.SilenceErrors, c.SilenceUsage = true, true
 	c.SetOut(&out)
 	c.SetErr(&out)
-	c.SetArgs(append([]string{}, args...)) // nil would mean the arguments of the test binary
+	c.SetArgs(append([]string{}, args...)) // with nil, cobra uses the arguments of the test binary
 	if err := c.Execute(); err != nil {
 		out.WriteString(err.Error() + "\n")
 	}
 	return out.Bytes()
 }
 
-// The output of check for valid, invalid and absent files is the committed one.
+// The output of check for valid, invalid and missing files matches the golden file.
 func TestGoldenCheck(t *testing.T) {
 	golden, err := filepath.Abs(filepath.Join("testdata", "golden"))
 	if err != nil {
--- a/cmd/olivedale/main.go
+++ b/cmd/olivedale/main.go
@@ -1,9 +1,9 @@
-// Command olivedale is the call controller: it takes call set-ups from clients and passes them to servers as the
-// decision module selects. The platform's configuration is the file that RELAY_CONFIG names; the operator's own is
-// deploy/olivedale.toml.
+// Command olivedale is the call controller: it accepts call set-ups from clients and forwards each to a server
+// that the decision module selects. It reads the platform's configuration from the file named by RELAY_CONFIG and the
+// operator's configuration from deploy/olivedale.toml.
 //
-// main.go holds the commands, check.go the check of the operator's file, serve.go the start, and signals.go the
-// reaction to signals.
+// main.go defines the commands, check.go validates the operator's file, serve.go starts the server, and signals.go
+// handles signals.
 package main
 
 import (
@@ -16,12 +16,13 @@
 	"olivedale/internal/config"
 )
 
-// maxProcs is how many threads run Go code at once: the platform gives the process one core, which others share.
+// maxProcs is the value of GOMAXPROCS: the platform gives the process one core, which it shares with others.
 const maxProcs = 1
 
 func main() {
-	// First, so that no garbage collection runs with more: its background sweeper can loop without a system call until
-	// a thread on another processor goes on, which never happens where threads take turns by their waits.
+	// Set first, so that no garbage collection runs with more processors: its background sweeper can spin without a
+	// system call until a thread on another processor makes progress, which never happens on a platform that switches
+	// threads only when they block.
 	runtime.GOMAXPROCS(maxProcs)
 	root := serveCommand()
 	root.AddCommand(checkCommand(), cli.VersionCommand())
@@ -31,9 +32,9 @@
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "olivedale",
-		Short: "Serve as a call controller",
-		Long: "olivedale serves as the call controller that " + config.PathVariable + " and " + config.OperatorPath +
-			" describe.\nSIGTERM shuts it down gracefully, SIGHUP reloads " + config.PathVariable +
+		Short: "Run the call controller",
+		Long: "olivedale runs the call controller that " + config.PathVariable + " and " + config.OperatorPath +
+			" configure.\nSIGTERM shuts it down gracefully, SIGHUP reloads " + config.PathVariable +
 			", the numbering rules and the signing keys, SIGUSR1 logs the counters.",
 		Example: "  RELAY_CONFIG=/etc/olivedale/config.json olivedale",
 		RunE:    func(*cobra.Command, []string) error { return serve() },
--- a/cmd/olivedale/main_test.go
+++ b/cmd/olivedale/main_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// build builds the program and returns its path.
+// build compiles the program and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "olivedale")
@@ -32,7 +32,7 @@
 	log        bytes.Buffer
 }
 
-// start runs the program with the address of a DNS service.
+// start builds and runs the program, configured with the address of a DNS service.
 func start(t *testing.T, discoveryAddress string) *process {
 	t.Helper()
 	p := prepare(t, discoveryAddress)
@@ -60,7 +60,7 @@
 	return p
 }
 
-// run starts the program that was prepared.
+// run starts the prepared program and kills it when the test ends.
 func (p *process) run(t *testing.T) {
 	t.Helper()
 	if err := p.Start(); err != nil {
@@ -69,7 +69,7 @@
 	t.Cleanup(func() { _ = p.Process.Kill() })
 }
 
-// configure writes the configuration.
+// configure writes the configuration file with the address of a DNS service.
 func (p *process) configure(t *testing.T, discoveryAddress string) {
 	t.Helper()
 	const format = `{"name":"n0","listen":%q,"seed":"1f","names":%q,"limits":{"memory_mb":192,"sockets":1024},
@@ -91,7 +91,7 @@
 	}
 }
 
-// connect dials until the program listens, and returns the connection after an echo test on it.
+// connect dials until the program listens, and returns the connection after a successful echo request.
 func (p *process) connect(t *testing.T) net.Conn {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -128,11 +128,11 @@
 		t.Errorf("after SIGTERM: %v", err)
 	}
 	if n := strings.Count(p.log.String(), "event=counters requests=0"); n != 2 {
-		t.Errorf("counters were written %d times, want on request and at exit:\n%s", n, p.log.String())
+		t.Errorf("counters were logged %d times, want 2 (on SIGUSR1 and at exit):\n%s", n, p.log.String())
 	}
 }
 
-// awaitQuery waits for a query at a DNS service.
+// awaitQuery waits until the DNS service receives a query.
 func awaitQuery(t *testing.T, service net.PacketConn) {
 	t.Helper()
 	_ = service.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -141,7 +141,7 @@
 	}
 }
 
-// openTwoServices opens the sockets of two DNS services.
+// openTwoServices opens UDP sockets for two DNS services.
 func openTwoServices(t *testing.T) [2]net.PacketConn {
 	t.Helper()
 	var services [2]net.PacketConn
@@ -155,8 +155,8 @@
 	return services
 }
 
-// startReload replaces the configuration by a pipe and sends SIGHUP. When it returns, the program is reading the
-// pipe.
+// startReload replaces the configuration file with a named pipe and sends SIGHUP. It returns when the program has
+// opened the pipe for reading.
 func (p *process) startReload(t *testing.T) *os.File {
 	t.Helper()
 	if err := os.Remove(p.configPath); err != nil {
@@ -166,14 +166,14 @@
 		t.Fatal(err)
 	}
 	p.signal(t, syscall.SIGHUP)
-	pipe, err := os.OpenFile(p.configPath, os.O_WRONLY, 0) // waits for the reader
+	pipe, err := os.OpenFile(p.configPath, os.O_WRONLY, 0) // blocks until the program opens the pipe
 	if err != nil {
 		t.Fatal(err)
 	}
 	return pipe
 }
 
-// After SIGHUP the program queries the new DNS service and keeps its connections. An invalid file changes nothing.
+// After SIGHUP the program queries the new DNS service and keeps its connections. An invalid file is ignored.
 func TestReload(t *testing.T) {
 	services := openTwoServices(t)
 	p := start(t, services[0].LocalAddr().String())
@@ -200,7 +200,7 @@
 	}
 }
 
-// After SIGHUP the program reads an incomplete file again until it is complete.
+// After SIGHUP the program retries an incomplete configuration file until it is valid.
 func TestReloadOfAFileBeingWritten(t *testing.T) {
 	services := openTwoServices(t)
 	p := start(t, services[0].LocalAddr().String())
@@ -216,7 +216,7 @@
 	awaitQuery(t, services[1])
 }
 
-// SIGTERM shuts the program down while a reload is still reading the file.
+// SIGTERM shuts the program down even while a reload is blocked on reading the file.
 func TestStopDoesNotWaitForAReload(t *testing.T) {
 	p := start(t, "127.0.0.1:9")
 	p.connect(t)
@@ -235,7 +235,7 @@
 	}
 }
 
-// With an invalid configuration the program exits with a readable message.
+// With a missing configuration file the program exits with an error that names the file, and without a stack trace.
 func TestInvalidConfigurationStopsTheStart(t *testing.T) {
 	cmd := exec.Command(build(t))
 	cmd.Env = []string{"RELAY_CONFIG=/does/not/exist.json"}
@@ -247,13 +247,13 @@
 	}
 }
 
-// Only the agent depends on the packages of etcd.
+// The controller does not depend on the etcd client; only the agent does.
 func TestNoEtcdInside(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	if strings.Contains(string(out), "etcd") || strings.Contains(string(out), "grpc") {
-		t.Error("olivedale depends on etcd's packages")
+		t.Error("olivedale depends on etcd or gRPC packages")
 	}
 }
--- a/cmd/olivedale/procs_test.go
+++ b/cmd/olivedale/procs_test.go
@@ -12,8 +12,8 @@
 // gcTrace matches a line of GODEBUG=gctrace=1 and captures the number of processors at that collection.
 var gcTrace = regexp.MustCompile(`(?m)^gc \d+ @.* (\d+) P`)
 
-// The program sets its number of processors before it allocates: a configuration that is large enough for garbage
-// collections while it is read brings none with more than one.
+// The program sets GOMAXPROCS before it allocates: reading a configuration large enough to trigger garbage collections
+// causes none that runs with more than one processor.
 func TestNoCollectionRunsWithMoreProcessors(t *testing.T) {
 	p := prepare(t, "127.0.0.1:9")
 	text, err := os.ReadFile(p.configPath)
@@ -33,16 +33,16 @@
 	}
 	collections := gcTrace.FindAllStringSubmatch(p.log.String(), -1)
 	if len(collections) == 0 {
-		t.Error("there was no garbage collection: the configuration is too small for this test")
+		t.Error("no garbage collection ran: the configuration is too small for this test")
 	}
 	for _, c := range collections {
 		if c[1] != fmt.Sprint(maxProcs) {
-			t.Errorf("a collection with more processors: %s", c[0])
+			t.Errorf("collection ran with more than one processor: %s", c[0])
 		}
 	}
 }
 
-// largeEndpointHistory is some 4 MB of endpoint events that all name the same endpoints.
+// largeEndpointHistory returns about 4 MB of endpoint events that all list the same endpoints.
 func largeEndpointHistory() string {
 	const events, endpoints = 600, 60
 	var list []string
--- a/cmd/olivedale/serve.go
+++ b/cmd/olivedale/serve.go
@@ -12,9 +12,9 @@
 	"olivedale/internal/server"
 )
 
-// serve runs the controller until a signal shuts it down. An error is logged as soon as there is a logger.
+// serve runs the controller until a signal shuts it down. Errors after the logger is created are logged.
 func serve() error {
-	signals := subscribe() // first, so that no signal kills the program while it starts
+	signals := subscribe() // before all else, so that a signal during the start does not kill the process
 	operator, usesH248Path, err := config.LoadOperator("")
 	if err != nil {
 		return err
@@ -54,14 +54,14 @@
 
 func loadConfig() (*config.Config, error) { return config.Load(os.Getenv(config.PathVariable)) }
 
-// limitMemory keeps the Go runtime within the platform's limit. It leaves a quarter of the memory to what the runtime
-// does not count.
+// limitMemory keeps the Go runtime within the platform's limit. It reserves a quarter of the memory for
+// allocations that the runtime does not count.
 func limitMemory(memoryMB int) {
 	memoryBytes := int64(memoryMB) << 20
 	debug.SetMemoryLimit(memoryBytes * 3 / 4)
 }
 
-// logFailure logs the error that ends the program. It returns nil if there is none.
+// logFailure logs the error that ends the program and returns cli.ErrReported. It returns nil if err is nil.
 func logFailure(log *zap.SugaredLogger, err error) error {
 	if err == nil {
 		return nil
--- a/cmd/olivedale/shutdown_test.go
+++ b/cmd/olivedale/shutdown_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// shutdownClient sends set-ups on an open connection, one behind the answer of the other, until the program closes it.
+// shutdownClient sends set-ups one at a time on an open connection until the program closes it.
 type shutdownClient struct {
 	process  *process
 	number   int
@@ -21,8 +21,8 @@
 	answered *atomic.Int64
 }
 
-// offer sends a set-up on a connection and awaits its answer.
-func (c *shutdownClient) offer(conn net.Conn, id string) error {
+// sendSetup sends a set-up on a connection and waits for its answer.
+func (c *shutdownClient) sendSetup(conn net.Conn, id string) error {
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	_, err := fmt.Fprintf(conn, `{"verb":"START","tag":"%s","opts":{"class":"voice","left":"900","key":"1"},"blob":"o"}`+"\n", id)
 	if err != nil {
@@ -33,11 +33,11 @@
 		c.answered.Add(1)
 		return nil
 	}
-	return fmt.Errorf("answered %q, %w", line, err)
+	return fmt.Errorf("answer %q: %w", line, err)
 }
 
-// lateLines returns the lines of a log that concern connections at the end.
-func lateLines(log string) (found string) {
+// shutdownLines returns the log lines about the shutdown and about set-ups that arrive during it.
+func shutdownLines(log string) (found string) {
 	for line := range strings.Lines(log) {
 		if strings.Contains(line, "event=late_") || strings.Contains(line, "event=stopping") {
 			found += line
@@ -46,8 +46,9 @@
 	return found
 }
 
-// run returns the error of a set-up that nobody answered. One that crosses the close of its connection is sent again on
-// a new connection; where that is refused, nobody has taken it.
+// run sends set-ups until the connection closes, and returns an error if a set-up was lost. A set-up that was in flight
+// when the connection closed is sent again on a new connection. If that is refused, the set-up is not lost: the program
+// never accepted it.
 func (c *shutdownClient) run() error {
 	conn, err := net.Dial("tcp", c.process.listen)
 	if err != nil {
@@ -57,39 +58,40 @@
 	for {
 		c.sent++
 		id := fmt.Sprintf("%08x%08x", c.number, c.sent)
-		if c.offer(conn, id) == nil {
+		if c.sendSetup(conn, id) == nil {
 			time.Sleep(time.Millisecond)
 			continue
 		}
 		lostAt := time.Now()
-		again, err := net.Dial("tcp", c.process.listen)
+		retryConn, err := net.Dial("tcp", c.process.listen)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		defer func() { _ = again.Close() }()
-		dialed := time.Since(lostAt)
-		if err := c.offer(again, id); err != nil {
-			return fmt.Errorf("%w, after %v and %v to connect, at %v", err, time.Since(lostAt), dialed, lostAt)
+		defer func() { _ = retryConn.Close() }()
+		dialTime := time.Since(lostAt)
+		if err := c.sendSetup(retryConn, id); err != nil {
+			return fmt.Errorf("%w: failed %v after the connection closed at %v; reconnecting took %v",
+				err, time.Since(lostAt), lostAt, dialTime)
 		}
 		return nil
 	}
 }
 
-// Clients that go on with open connections after SIGTERM lose no set-up, also not one that crosses the close of its
-// connection as the process ends.
+// Clients that continue on open connections after SIGTERM lose no set-up, not even one that is in flight when the
+// exiting process closes the connection.
 func TestNoSetupIsLostAtShutdown(t *testing.T) {
 	t.Parallel()
 	const rounds, clients = 6, 6
 	var lost, answered atomic.Int64
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for range rounds {
 		p := start(t, "127.0.0.1:9")
 		p.connect(t)
 		for number := range clients {
-			playing.Go(func() {
+			running.Go(func() {
 				c := &shutdownClient{process: p, number: number, answered: &answered}
 				if err := c.run(); err != nil {
 					lost.Add(1)
@@ -97,18 +99,18 @@
 				}
 			})
 		}
-		playing.Go(func() {
+		running.Go(func() {
 			time.Sleep(50 * time.Millisecond)
 			p.signal(t, syscall.SIGTERM)
 			if err := p.Wait(); err != nil {
 				t.Errorf("after SIGTERM: %v", err)
 			}
-			t.Logf("%s", lateLines(p.log.String()))
+			t.Logf("%s", shutdownLines(p.log.String()))
 		})
 	}
-	playing.Wait()
+	running.Wait()
 	t.Logf("%d set-ups were answered, %d were lost", answered.Load(), lost.Load())
 	if answered.Load() < rounds*clients {
-		t.Error("hardly any set-up was answered")
+		t.Error("fewer set-ups were answered than one per client")
 	}
 }
--- a/cmd/olivedale/signals.go
+++ b/cmd/olivedale/signals.go
@@ -11,28 +11,28 @@
 	"olivedale/internal/server"
 )
 
-// maxWaitingRequests is how many requests may wait while a reload runs; further signals are dropped.
-const maxWaitingRequests = 8
+// maxQueuedRequests is the number of requests that are queued while a reload runs; further signals are dropped.
+const maxQueuedRequests = 8
 
-// A reload that fails is repeated, because the file may still be being written. After about two seconds the file
-// counts as invalid and the configuration stays as it is.
+// A failed reload is retried, because the file may be incomplete while it is being written. After about two seconds
+// the file is considered invalid and the old configuration stays in force.
 const (
 	maxReloadAttempts   = 10
 	reloadRetryInterval = 200 * time.Millisecond
 )
 
-// processSignals are the signals that the process handles. Those that shut it down have a channel of their own: a
-// signal whose channel is full is dropped, and a shutdown must not wait for a reload while the time until SIGKILL
-// runs.
+// processSignals are the signals that the process handles. Shutdown signals have a channel of their own: a signal
+// is dropped if its channel is full, and a shutdown must not wait for a reload, since SIGKILL follows after a fixed
+// time.
 type processSignals struct {
 	requests  chan os.Signal // SIGHUP and SIGUSR1
 	shutdowns chan os.Signal // SIGTERM and SIGINT
 }
 
-// subscribe starts the delivery of signals. They wait in the channels until the node has started.
+// subscribe registers for the signals. They are queued in the channels until the node has started.
 func subscribe() processSignals {
 	s := processSignals{
-		requests:  make(chan os.Signal, maxWaitingRequests),
+		requests:  make(chan os.Signal, maxQueuedRequests),
 		shutdowns: make(chan os.Signal, 1),
 	}
 	signal.Notify(s.requests, syscall.SIGHUP, syscall.SIGUSR1)
@@ -40,7 +40,7 @@
 	return s
 }
 
-// shutDown stops the node at each signal to shut down.
+// shutDown stops the node on each shutdown signal, once it has started.
 func (s processSignals) shutDown(node *server.Server) {
 	<-node.Started()
 	for range s.shutdowns {
@@ -48,7 +48,7 @@
 	}
 }
 
-// handleRequests handles SIGUSR1 and SIGHUP one after the other.
+// handleRequests handles SIGUSR1 and SIGHUP sequentially, once the node has started.
 func (s processSignals) handleRequests(node *server.Server, log *zap.SugaredLogger) {
 	<-node.Started()
 	for request := range s.requests {
@@ -62,8 +62,8 @@
 	}
 }
 
-// reloadConfig reads the platform's configuration again. It logs the first failure and keeps the old configuration
-// if all attempts fail.
+// reloadConfig reads the platform's configuration again. It logs only the first failure, and keeps the old
+// configuration if all attempts fail.
 func reloadConfig(node *server.Server, log *zap.SugaredLogger) {
 	for attempt := range maxReloadAttempts {
 		cfg, err := loadConfig()
