--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink hosts nodes for a simulator: it reads batches of events from standard input and writes the
-// decisions on each to standard output. The nodes share no state.
+// Command benchlink runs the decision module for the nodes of an external simulator: it reads batches of events from
+// standard input, one per line, and writes the decisions on each batch to standard output. The nodes share no state.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"olivedale/internal/simproto"
 )
 
-// readBufferBytes is the initial size of the buffer for a line.
+// readBufferBytes is the size of the buffer for input; longer lines are assembled from several reads.
 const readBufferBytes = 1 << 20
 
 func main() {
@@ -24,14 +24,14 @@
 	}
 }
 
-// run answers each line of in until its end. Empty lines have no answer.
+// run writes a reply for each line of in until the end of input. Empty lines are skipped.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferBytes)
 	h := newHost()
 	for {
 		line, readErr := reader.ReadBytes('\n')
 		if text := bytes.TrimSpace(line); len(text) > 0 {
-			if err := h.answerTo(text, out); err != nil {
+			if err := h.writeReply(text, out); err != nil {
 				return err
 			}
 		}
@@ -39,12 +39,12 @@
 			return nil
 		}
 		if readErr != nil {
-			return fmt.Errorf("reading: %w", readErr)
+			return fmt.Errorf("read batch: %w", readErr)
 		}
 	}
 }
 
-// A host runs the state machine of each node that has started.
+// A host holds the state machine of each node that has started.
 type host struct {
 	decoder simproto.Decoder
 	nodes   map[int]*admission.StateMachine
@@ -52,19 +52,19 @@
 
 func newHost() *host { return &host{nodes: make(map[int]*admission.StateMachine)} }
 
-// answerTo handles one line and writes the reply.
-func (h *host) answerTo(line []byte, out io.Writer) error {
-	reply, err := h.answer(line)
+// writeReply processes one batch and writes the reply.
+func (h *host) writeReply(line []byte, out io.Writer) error {
+	reply, err := h.handleBatch(line)
 	if err != nil {
 		return err
 	}
 	if _, err := out.Write(reply); err != nil {
-		return fmt.Errorf("writing a reply: %w", err)
+		return fmt.Errorf("write reply: %w", err)
 	}
 	return nil
 }
 
-func (h *host) answer(line []byte) ([]byte, error) {
+func (h *host) handleBatch(line []byte) ([]byte, error) {
 	batch, err := h.decoder.Decode(line)
 	if err != nil {
 		return nil, err
@@ -80,8 +80,8 @@
 	return simproto.Encode(replies)
 }
 
-// handle passes the items to the node's state machine and returns its actions. Actions before a Kill or a Start in
-// the same batch are void. Events of a node that has not started are ignored.
+// handle passes the items to the node's state machine and returns its actions. A Kill or a Start discards the
+// actions of earlier items in the batch. Events for a node that has not started are ignored.
 func (h *host) handle(now admission.Time, node simproto.Node) ([]admission.Action, error) {
 	var actions []admission.Action
 	for _, item := range node.Items {
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -8,26 +8,26 @@
 	"testing"
 )
 
-// startItems start a node with an empty cached server list.
+// startItems are the items that start a node with an empty cached server list.
 const startItems = `["START",7,{"groupSize":2,"classes":[{"name":"read","aim":1000,"deadline":5000,"credit":1}],` +
 	`"domain":{"topology":"pools","releaseGuard":150},"limits":{"maxAttempts":2},"safety":{"startCapacity":0.5}}],` +
 	`["MEMBERS","cached",0,1]`
 
-// pageItem gives a list of one server the number 0.
+// pageItem defines server list number 0, with one server.
 const pageItem = `["PAGE",0,[["srv","z","k",0,"IN",1,null]]],`
 
-// callItem offers a call.
+// callItem returns the item that offers a call.
 func callItem(id, until string) string {
 	return `["ASK","` + id + `",null,0,1,` + until + `,0,null,"` + id + `",-1,"read"]`
 }
 
-// batch returns a line.
+// batch returns an input line: a batch of nodes at a time.
 func batch(at, nodes string) string { return `{"atTime":` + at + `,"nodes":[` + nodes + "]}\n" }
 
-// node returns the entry of one node in a line.
+// node returns the entry of one node in a batch.
 func node(n, items string) string { return `{"node":` + n + `,"items":[` + items + `]}` }
 
-// TestPipe drives the built program over a pipe.
+// TestPipe feeds batches to the built program on standard input and checks its replies.
 func TestPipe(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "benchlink")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -69,7 +69,7 @@
 				t.Errorf("%s: error %v, want %q", text, err, want)
 			}
 			if strings.Count(out.String(), "\n") != strings.Count(text, "\n")-1 {
-				t.Errorf("%s: a partial answer: %q", text, out.String())
+				t.Errorf("%s: output for the invalid line: %q", text, out.String())
 			}
 		})
 	}
--- a/cmd/oliveagent/main.go
+++ b/cmd/oliveagent/main.go
@@ -1,4 +1,4 @@
-// Command oliveagent keeps the olivedale processes of a machine as etcd lists them.
+// Command oliveagent runs the olivedale instances that etcd lists for a machine.
 package main
 
 import (
@@ -21,17 +21,17 @@
 	"olivedale/internal/logging"
 )
 
-// messageID is the message identifier of the agent in the admin protocol.
+// messageID identifies the agent as the sender of messages of the admin protocol.
 const messageID = "<agent>"
 
-// Times of the connection to etcd.
+// Timeouts and intervals of the connection to etcd.
 const (
 	etcdDialTimeout       = 5 * time.Second
 	etcdKeepaliveInterval = 5 * time.Second
 	etcdKeepaliveTimeout  = 3 * time.Second
 )
 
-// An options value is the options of the command line.
+// options are the values of the command-line flags.
 type options struct {
 	etcdAddrs  []string
 	prefix     string
@@ -49,32 +49,32 @@
 	var o options
 	root := &cobra.Command{
 		Use:     "oliveagent",
-		Short:   "Keep the instances of this machine as etcd wants them",
+		Short:   "Run the instances of this machine that etcd lists",
 		Example: "  oliveagent --etcd 127.0.0.1:2379 --dir /var/lib/olivedale --program bin/olivedale",
 		RunE:    func(*cobra.Command, []string) error { return run(o) },
 	}
 	set := root.Flags()
-	set.StringSliceVar(&o.etcdAddrs, "etcd", []string{"127.0.0.1:2379"}, "addresses of etcd")
-	set.StringVar(&o.prefix, "prefix", "/olivedale/instances/", "keys below it are wanted instances")
-	set.StringVar(&o.program, "program", "bin/olivedale", "the program to run")
-	set.StringVar(&o.dir, "dir", "", "folder for the files of the instances (needed)")
-	set.StringVar(&o.listenAddr, "listen", "127.0.0.1:2950", "where olivectl connects")
-	set.StringVar(&o.log.Form, "log-form", logging.Text, "form of log lines: text or json")
-	set.StringVar(&o.log.Level, "log-level", "info", "least level of log lines: debug, info, warn, error")
+	set.StringSliceVar(&o.etcdAddrs, "etcd", []string{"127.0.0.1:2379"}, "addresses of the etcd cluster")
+	set.StringVar(&o.prefix, "prefix", "/olivedale/instances/", "prefix of the etcd keys that specify instances")
+	set.StringVar(&o.program, "program", "bin/olivedale", "the controller program to run")
+	set.StringVar(&o.dir, "dir", "", "directory for the files of the instances (required)")
+	set.StringVar(&o.listenAddr, "listen", "127.0.0.1:2950", "address for connections from olivectl")
+	set.StringVar(&o.log.Form, "log-form", logging.Text, "format of log lines: text or json")
+	set.StringVar(&o.log.Level, "log-level", "info", "minimum level of log lines: debug, info, warn, error")
 	root.AddCommand(cli.VersionCommand())
 	return root
 }
 
-// run checks the options, connects to etcd and keeps the instances running.
+// run validates the options, connects to etcd and runs the instances until a signal stops it.
 func run(o options) error {
 	if o.dir == "" {
-		return cli.UsageErrorf("--dir is missing: name a folder for the files of the instances")
+		return cli.UsageErrorf("--dir is required: name a directory for the files of the instances")
 	}
 	if err := o.log.Check(); err != nil {
 		return cli.UsageErrorf("--log-%w", err)
 	}
 	logger := logging.New(os.Stderr, o.log)
-	// A relative path would refer to the working directory of the instance.
+	// An instance has its own working directory, to which a relative path would refer.
 	program, err := filepath.Abs(o.program)
 	if err != nil {
 		return fmt.Errorf("--program: %w", err)
@@ -88,12 +88,12 @@
 	if err != nil {
 		return err
 	}
-	return keepRunning(agent.New(program, o.dir, logger), client, o.prefix, ln, logger.Sugar())
+	return serveUntilStopped(agent.New(program, o.dir, logger), client, o.prefix, ln, logger.Sugar())
 }
 
-// keepRunning runs the agent and its admin server until the program is signaled to stop or the server fails. It then
-// drains the instances.
-func keepRunning(
+// serveUntilStopped runs the agent and its admin server until SIGTERM, SIGINT or a failure of the server. It then drains
+// the instances.
+func serveUntilStopped(
 	a *agent.Agent, client *clientv3.Client, prefix string, ln net.Listener, log *zap.SugaredLogger,
 ) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
