--- a/cmd/oliveagent/main.go
+++ b/cmd/oliveagent/main.go
@@ -91,8 +91,8 @@
 	return serveUntilStopped(agent.New(program, o.dir, logger), client, o.prefix, ln, logger.Sugar())
 }
 
-// serveUntilStopped runs the agent and its admin server until SIGTERM, SIGINT or a failure of the server. It then drains
-// the instances.
+// serveUntilStopped runs the agent and its admin server until SIGTERM, SIGINT or a failure of the server. It then
+// drains the instances.
 func serveUntilStopped(
 	a *agent.Agent, client *clientv3.Client, prefix string, ln net.Listener, log *zap.SugaredLogger,
 ) error {
--- a/cmd/olivectl/golden_agent_test.go
+++ b/cmd/olivectl/golden_agent_test.go
@@ -22,7 +22,7 @@
 	"olivedale/internal/server"
 )
 
-// serveAdmin serves admin commands on a free port until the test ends.
+// serveAdmin runs an admin server on a free port until the test ends.
 func serveAdmin(t *testing.T, handle adminapi.Handler) (addr string) {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	return ln.Addr().String()
 }
 
-// serveAgent serves a fake agent with the running instance n0, which has that admin address.
+// serveAgent runs a fake agent whose only instance, n0, is running and has that admin address.
 func serveAgent(t *testing.T, admin string) (addr string) {
 	t.Helper()
 	return serveAdmin(t, func(c *h248.Command) ([]*h248.Node, *h248.Error) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// mustRun executes a command line, which must succeed, and returns what it printed.
+// mustRun executes a command line, reports an error if it fails, and returns its output.
 func mustRun(t *testing.T, args ...string) string {
 	t.Helper()
 	out, err := run(t, args...)
@@ -62,7 +62,8 @@
 	return out
 }
 
-// The output about an agent's instances is the committed one. Their specifications are invalid, so that no process runs.
+// The output about an agent's instances matches the golden files. The instances have invalid specifications, so that no
+// process is started.
 func TestGoldenAgent(t *testing.T) {
 	a := agent.New(filepath.Join(t.TempDir(), "none"), t.TempDir(), zap.NewNop())
 	t.Cleanup(a.Close)
@@ -75,7 +76,7 @@
 	goldentest.Compare(t, "drain.txt", mustRun(t, "drain", "east", "--agent", addr))
 }
 
-// goldenState returns a state of which every value differs from its zero.
+// goldenState returns a state in which no field has its zero value.
 func goldenState() *overload.State {
 	return &overload.State{
 		Self: 3, Peers: 300, Incarnation: 77, Aggregator: 5, AggregatorFor: 3 * time.Second,
@@ -101,16 +102,16 @@
 	}
 }
 
-// The output about overload control and numbering tables of instances is the committed one.
+// The output about overload control and numbering tables of instances matches the golden files.
 func TestGoldenInstance(t *testing.T) {
 	admin := serveAdmin(t, func(c *h248.Command) ([]*h248.Node, *h248.Error) {
 		if c.Termination == adminapi.OverloadTermination {
 			return adminapi.OverloadNodes(goldenState()), nil
 		}
-		const begins = 1764547200 * time.Second
+		const activatedAt = 1764547200 * time.Second
 		return adminapi.NumberingNodes([]numbering.VersionStatus{
-			{Digest: "7b3cbfb4b82e4e7b", Name: "of today", State: numbering.StateActive, Prefixes: 12, Calls: 3, ActivatedAt: begins},
-			{Digest: "00c41f7a00c41f7a", Name: "of tomorrow", State: numbering.StateScheduled, Prefixes: 13, ScheduledAt: begins + time.Hour},
+			{Digest: "7b3cbfb4b82e4e7b", Name: "of today", State: numbering.StateActive, Prefixes: 12, Calls: 3, ActivatedAt: activatedAt},
+			{Digest: "00c41f7a00c41f7a", Name: "of tomorrow", State: numbering.StateScheduled, Prefixes: 13, ScheduledAt: activatedAt + time.Hour},
 			{Digest: "11c41f7a00c41f7a", Name: "spare", State: numbering.StateLoaded, Prefixes: 1},
 		}, numbering.Job{ID: 4, Command: numbering.Command{Op: numbering.OpLoad}, Error: "no such file"}), nil
 	})
@@ -126,7 +127,7 @@
 	}
 }
 
-// freeAddr returns an address of this machine on which nobody listens.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
@@ -150,7 +151,7 @@
 pool = 0
 `
 
-// startInstance runs an instance with all optional parts that have statistics, and returns its admin address.
+// startInstance runs an instance with all optional components that have statistics, and returns its admin address.
 func startInstance(t *testing.T) (admin string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -192,7 +193,7 @@
 	return admin
 }
 
-// jsonShape returns the names of a JSON value's members in their order, with types; of an array, the first element's.
+// jsonShape lists the path and the type of each member of a JSON value in order; of an array, only the first element.
 func jsonShape(t *testing.T, text string) string {
 	t.Helper()
 	var b strings.Builder
@@ -232,7 +233,7 @@
 	return b.String()
 }
 
-// writeNodeNames writes the names of nodes and of the nodes in them.
+// writeNodeNames writes the names of nodes and, recursively, of their children.
 func writeNodeNames(b *strings.Builder, path string, nodes []*h248.Node) {
 	for _, n := range nodes {
 		_, _ = fmt.Fprintf(b, "%s%s\n", path, n.Name)
@@ -240,7 +241,7 @@
 	}
 }
 
-// The names and types in the output about a running instance are the committed ones, and so is a replay.
+// The names and types in the output about a running instance match the golden files, and so does a replay.
 func TestGoldenService(t *testing.T) {
 	admin := startInstance(t)
 	audit, err := adminapi.Send(t.Context(), admin, adminapi.AuditCommand("ROOT"))
--- a/cmd/olivectl/golden_test.go
+++ b/cmd/olivectl/golden_test.go
@@ -13,11 +13,11 @@
 	"olivedale/internal/goldentest"
 )
 
-// compileTime is the only part of an output that differs from run to run.
+// compileTime matches the only part of the output that varies between runs.
 var compileTime = regexp.MustCompile(`compiled in \S+`)
 
-// workOnCopies changes to a folder with copies of the committed stores and rules, so that no output names a
-// folder of the source, and returns the folder of the golden files.
+// workOnCopies changes to a directory with copies of the test data, so that no output contains a path of the source
+// tree, and returns the directory of the golden files.
 func workOnCopies(t *testing.T) (golden string) {
 	t.Helper()
 	golden, err := filepath.Abs(filepath.Join("testdata", "golden"))
@@ -38,7 +38,7 @@
 	return golden
 }
 
-// The output of commands that read files is the committed one.
+// The output of commands that read files matches the golden files.
 func TestGoldenOutputs(t *testing.T) {
 	golden := workOnCopies(t)
 	for _, c := range []struct {
@@ -49,8 +49,8 @@
 		{"records-cat.jsonl", "records cat --json incident", ""},
 		{"records-cat.txt", "records cat --kind answer,gap --instance n0 incident", ""},
 		{"records-cat-all-kinds.jsonl", "records cat --json all-kinds", ""},
-		{"records-verify.json", "records verify --json incident all-kinds", "1 damages found"},
-		{"records-verify.txt", "records verify incident all-kinds", "1 damages found"},
+		{"records-verify.json", "records verify --json incident all-kinds", "damaged places found: 1"},
+		{"records-verify.txt", "records verify incident all-kinds", "damaged places found: 1"},
 		{"report.json", "report --json - incident", ""},
 		{"numbers-check.txt", "numbers check rules/rules.toml rules/next.toml", ""},
 		{"numbers-show.json", "numbers show --json --explain --file rules/rules.toml --at 2026-12-25T15:00 --call c-1 9", ""},
@@ -62,15 +62,15 @@
 		if c.err == "" && err != nil || c.err != "" && (err == nil || err.Error() != c.err) {
 			t.Errorf("%s: %v, want error %q", c.args, err, c.err)
 		}
-		out, _, _ = strings.Cut(out, "Error: ") // the text that cobra adds to an error is not compared
+		out, _, _ = strings.Cut(out, "Error: ") // the error text that cobra appends is not compared
 		goldentest.CompareFile(t, filepath.Join(golden, c.file), []byte(compileTime.ReplaceAllString(out, "compiled in TIME")))
 	}
 }
 
-// records tail prints the last records and ends with SIGINT.
+// The command records tail prints the latest records and exits on SIGINT.
 func TestGoldenTail(t *testing.T) {
 	golden := workOnCopies(t)
-	caught := make(chan os.Signal, 1) // a signal before the command handles it must not end the test
+	caught := make(chan os.Signal, 1) // an early signal, before the command handles it, must not kill the test process
 	signal.Notify(caught, syscall.SIGINT)
 	defer signal.Stop(caught)
 	done := make(chan struct{})
--- a/cmd/olivectl/instances.go
+++ b/cmd/olivectl/instances.go
@@ -61,13 +61,13 @@
 	return c
 }
 
-// instanceStatus is what an agent and an instance report about the instance.
+// instanceStatus holds the properties of an instance that the agent and the instance itself report.
 type instanceStatus struct {
-	values map[string]string // by name; of a repeated name the last value
+	values map[string]string // by name; the last value if a name is repeated
 	rows   [][]string        // name and value in the order of the reports
 }
 
-// readStatus asks the agent for an instance, and the instance itself if it runs and has an admin address.
+// readStatus queries the agent about an instance, and the instance itself if it is running and has an admin address.
 func readStatus(ctx context.Context, agent, name string) (*instanceStatus, error) {
 	reply, err := adminapi.Send(ctx, agent, adminapi.AuditCommand(instanceTermination(name)))
 	if err != nil {
@@ -120,7 +120,7 @@
 			if _, err := adminapi.Send(c.Context(), agent, command); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "%s drains\n", args[0])
+			_, err := fmt.Fprintf(c.OutOrStdout(), "%s is draining\n", args[0])
 			return err
 		},
 	}
--- a/cmd/olivectl/main.go
+++ b/cmd/olivectl/main.go
@@ -1,5 +1,5 @@
-// Command olivectl is the operators' command line. It lists and drains the instances of an agent, shows what instances
-// report, manages their numbering tables, and reads their records.
+// Command olivectl is the operators' command-line tool. It lists and drains the instances of an agent, shows the status
+// and statistics of instances, manages their numbering tables, and reads their records.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"olivedale/internal/cli"
 )
 
-// defaultAgent is the address of an agent on the same machine.
+// defaultAgent is the default address of the agent, on the same machine.
 const defaultAgent = "127.0.0.1:2950"
 
 func main() { os.Exit(cli.Run(newRootCommand())) }
@@ -35,12 +35,12 @@
 	return root
 }
 
-// addAgentFlag adds the flag with the address of the agent.
+// addAgentFlag adds the flag for the address of the agent.
 func addAgentFlag(c *cobra.Command, agent *string) {
 	c.Flags().StringVar(agent, "agent", defaultAgent, "address of the agent")
 }
 
-// addJSONFlag adds the flag that selects JSON in place of a table.
+// addJSONFlag adds the flag that selects JSON output instead of a table.
 func addJSONFlag(c *cobra.Command, asJSON *bool) {
 	c.Flags().BoolVar(asJSON, "json", false, "print JSON")
 }
--- a/cmd/olivectl/numbers.go
+++ b/cmd/olivectl/numbers.go
@@ -14,15 +14,15 @@
 	"olivedale/internal/numbering"
 )
 
-// defaultRulesFile is where the rules are in the repository.
+// defaultRulesFile is the path of the rules in the repository.
 const defaultRulesFile = "deploy/numbers.toml"
 
 func newNumbersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "numbers",
 		Short: "Check numbering rules and manage the numbering tables of instances",
-		Long: "check, show and diff read files of rules, such as the one that [numbers] of olivedale.toml names.\n" +
-			"They run the same number analysis as a call controller. list, load, activate, rollback and cancel\n" +
+		Long: "check, show and diff read rules files, such as the one that [numbers] in olivedale.toml names.\n" +
+			"They use the number analysis of the call controller. list, load, activate, rollback and cancel\n" +
 			"manage the numbering tables of running instances, over their admin addresses.",
 		Example: "  olivectl numbers show --file deploy/numbers.toml --explain \"+56 2 2555 0100\"",
 	}
@@ -39,13 +39,14 @@
 	return c
 }
 
-// addSettingsFlag adds the flag with the configuration that rules are checked against.
+// addSettingsFlag adds the flag for the configuration that rules are checked against.
 func addSettingsFlag(c *cobra.Command, path *string) {
 	c.Flags().StringVar(path, "config", "",
-		"configuration file (as RELAY_CONFIG) whose classes and pools the rules must fit")
+		"configuration file (as in RELAY_CONFIG) whose classes and pools the rules must match")
 }
 
-// readTable reads and compiles a file of rules. The argument settings is the path of a configuration, or "".
+// readTable reads and compiles a rules file. If settings is not empty, it is the path of the configuration that the
+// rules are checked against.
 func readTable(path, settings string, now time.Time) (*numbering.Table, error) {
 	env := numbering.Deployment{Now: numbering.Time(now.UnixNano())}
 	if settings != "" {
@@ -68,7 +69,7 @@
 	var settings string
 	c := &cobra.Command{
 		Use:     "check FILE...",
-		Short:   "Check files of rules and report the errors of each entry",
+		Short:   "Check rules files and report the errors of each entry",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  olivectl numbers check --config /etc/olivedale/config.json deploy/numbers.toml",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -103,8 +104,8 @@
 		Use:   "diff OLD NEW",
 		Short: "List the prefixes whose numbers are routed differently",
 		Args:  cobra.ExactArgs(2),
-		Long: "diff compares the routing of numbers, not the text of rules: renaming a route is no difference.\n" +
-			"A prefix is listed where a difference begins; longer prefixes only if they differ from that.",
+		Long: "diff compares the routing of numbers, not the text of rules: a renamed route is not a difference.\n" +
+			"A prefix is listed where a difference begins; a longer one only if its difference is another.",
 		Example: "  olivectl numbers diff deploy/numbers.toml deploy/numbers.next.toml",
 		RunE: func(c *cobra.Command, args []string) error {
 			now := time.Now()
@@ -135,7 +136,7 @@
 		rows = append(rows, []string{prefix, change.Old, change.New})
 	}
 	if changes == nil {
-		changes = []numbering.Change{} // JSON shows an empty list, not null
+		changes = []numbering.Change{} // encoded as an empty list, not null
 	}
 	if err := cli.Table(c.OutOrStdout(), asJSON, changes, []string{"PREFIX", "OLD", "NEW"}, rows); err != nil {
 		return err
--- a/cmd/olivectl/numbers_list.go
+++ b/cmd/olivectl/numbers_list.go
@@ -15,15 +15,15 @@
 	"olivedale/internal/record"
 )
 
-// jsonVersions are the numbering tables of an instance, as JSON shows them.
+// jsonVersions is the JSON form of the numbering tables of an instance.
 type jsonVersions struct {
 	Instance  string                    `json:"instance"`
 	Versions  []numbering.VersionStatus `json:"versions"`
 	LastOrder string                    `json:"last_order,omitempty"`
-	Error     string                    `json:"error,omitempty"` // of the last order, or why there is no answer
+	Error     string                    `json:"error,omitempty"` // of the last order, or of the query
 }
 
-// auditNumbering asks an instance for its numbering tables and its last order.
+// auditNumbering requests the numbering tables and the last order of an instance.
 func auditNumbering(ctx context.Context, admin string) ([]numbering.VersionStatus, numbering.Job, error) {
 	reply, err := adminapi.Send(ctx, admin, adminapi.AuditCommand(adminapi.NumberingTermination))
 	if err != nil {
@@ -47,7 +47,7 @@
 	return c
 }
 
-// listVersions prints the numbering tables. An instance that does not answer is an error after the output.
+// listVersions prints the numbering tables. Instances that do not respond are returned as errors after the output.
 func listVersions(c *cobra.Command, f *targetFlags, asJSON bool) error {
 	targets, err := f.targets(c.Context())
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// formatSince formats when a version came into force, or when it will.
+// formatSince formats the time at which a version came into force or is scheduled to.
 func formatSince(v *numbering.VersionStatus) string {
 	switch {
 	case v.State == numbering.StateScheduled:
@@ -107,7 +107,7 @@
 	}
 }
 
-// countVersionsInForce returns how many different versions are in force.
+// countVersionsInForce returns the number of different versions in force.
 func countVersionsInForce(all []jsonVersions) int {
 	digests := make(map[string]bool)
 	for _, instance := range all {
--- a/cmd/olivectl/numbers_order.go
+++ b/cmd/olivectl/numbers_order.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// orderTimeout bounds how long a command waits for the end of an order.
+	// orderTimeout limits how long a command waits for an order to complete.
 	orderTimeout = 5 * time.Minute
-	// orderPollInterval is the time between two looks at an order in progress.
+	// orderPollInterval is the time between two polls of an order in progress.
 	orderPollInterval = 50 * time.Millisecond
 )
 
@@ -26,11 +26,11 @@
 	errOrderTimeout  = errors.New("the order is still in progress; see 'olivectl numbers list'")
 )
 
-// newOrder returns the order for an instance with these versions.
+// newOrder builds the order for an instance that has these versions.
 type newOrder func(versions []numbering.VersionStatus) numbering.Command
 
-// executeOnAll sends an order to all targets, one after the other, and stops at the first that fails: the others would
-// most likely fail too.
+// executeOnAll sends an order to all targets sequentially and stops at the first failure, because the remaining targets
+// would most likely fail too.
 func executeOnAll(c *cobra.Command, f *targetFlags, order newOrder) error {
 	targets, err := f.targets(c.Context())
 	if err != nil {
@@ -39,7 +39,7 @@
 	for done, t := range targets {
 		result, err := execute(c.Context(), t.admin, order)
 		if err != nil {
-			return fmt.Errorf("%s: %w (%d of %d instances were done before)", t.name, err, done, len(targets))
+			return fmt.Errorf("%s: %w (completed on %d of %d instances)", t.name, err, done, len(targets))
 		}
 		if _, err := fmt.Fprintf(c.OutOrStdout(), "%s: done, %s\n", t.name, result); err != nil {
 			return err
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// execute sends an order to an instance, waits for its end and returns the result as text.
+// execute sends an order to an instance, waits for its completion and returns the result as text.
 func execute(ctx context.Context, admin string, newOrder newOrder) (result string, err error) {
 	versions, _, err := auditNumbering(ctx, admin)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return awaitOrder(ctx, admin, accepted.ID, order.Op)
 }
 
-// awaitOrder polls the instance until the order with that id has ended.
+// awaitOrder polls the instance until the order with that id is complete.
 func awaitOrder(ctx context.Context, admin string, id uint64, operation string) (result string, err error) {
 	for deadline := time.Now().Add(orderTimeout); ; time.Sleep(orderPollInterval) {
 		versions, job, err := auditNumbering(ctx, admin)
@@ -84,7 +84,7 @@
 	}
 }
 
-// digestInForce returns the digest of the version in force, "" if there is none.
+// digestInForce returns the digest of the version in force, or "" if there is none.
 func digestInForce(versions []numbering.VersionStatus) string {
 	for _, v := range versions {
 		if v.State == numbering.StateActive {
@@ -100,11 +100,11 @@
 		Use:   "load FILE",
 		Short: "Load rules into instances without putting them in force",
 		Args:  cobra.ExactArgs(1),
-		Long: "load makes instances read, check and keep FILE, which is a path on their own machine. activate puts\n" +
-			"it in force.",
+		Long: "load makes instances read, check and store FILE, which is a path on their own machine. activate\n" +
+			"puts it in force.",
 		Example: "  olivectl numbers load /etc/olivedale/numbers.next.toml",
 		RunE: func(c *cobra.Command, args []string) error {
-			path, err := filepath.Abs(args[0]) // an instance has another working directory
+			path, err := filepath.Abs(args[0]) // instances have their own working directories
 			if err != nil {
 				return err
 			}
@@ -124,9 +124,9 @@
 		Use:   "activate DIGEST",
 		Short: "Put a loaded version in force, now or at a time",
 		Args:  cobra.ExactArgs(1),
-		Long: "activate puts a version in force for calls that are offered later. It fails if another version is in\n" +
-			"force than the one that --saw names, so that of two operators who saw the same version only one\n" +
-			"succeeds. Without --saw it is the version that is in force now.",
+		Long: "activate puts a version in force for calls that arrive later. It fails if the version\n" +
+			"in force is not the one that --saw names, so that only one of two operators who saw the same version\n" +
+			"succeeds. The default of --saw is the version that is in force now.",
 		Example: "  olivectl numbers activate 7b3cbfb4b82e4e7b --at 2026-12-02T03:00:00Z",
 		RunE: func(c *cobra.Command, args []string) error {
 			due, err := parseDue(at)
@@ -148,19 +148,19 @@
 		},
 	}
 	f.register(c)
-	c.Flags().StringVar(&at, "at", "", "when the version comes into force (default at once)")
+	c.Flags().StringVar(&at, "at", "", "time at which the version comes into force (default: immediately)")
 	c.Flags().StringVar(&expected, "saw", "", "digest of the version that must be in force now")
 	return c
 }
 
-// parseDue parses the time of an activation; the empty text is 0, which is at once.
+// parseDue parses the time of an activation; an empty text is 0, which means immediately.
 func parseDue(text string) (numbering.Time, error) {
 	if text == "" {
 		return 0, nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, cli.UsageErrorf("--at: %q is no time such as 2026-12-02T03:00:00Z", text)
+		return 0, cli.UsageErrorf("--at: %q is not a time such as 2026-12-02T03:00:00Z", text)
 	}
 	return numbering.Time(t.UnixNano()), nil
 }
@@ -185,7 +185,7 @@
 	var f targetFlags
 	c := &cobra.Command{
 		Use:     "cancel",
-		Short:   "Cancel an activation that waits for its time",
+		Short:   "Cancel a scheduled activation",
 		Example: "  olivectl numbers cancel",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return executeOnAll(c, &f, func([]numbering.VersionStatus) numbering.Command {
--- a/cmd/olivectl/numbers_show.go
+++ b/cmd/olivectl/numbers_show.go
@@ -12,7 +12,7 @@
 	"olivedale/internal/numbering"
 )
 
-// showFlags are the flags of `numbers show`.
+// showFlags are the flags of the command numbers show.
 type showFlags struct {
 	file     string
 	settings string
@@ -35,10 +35,10 @@
 		RunE: func(c *cobra.Command, args []string) error { return showNumber(c, &f, args[0]) },
 	}
 	set := c.Flags()
-	set.StringVar(&f.file, "file", defaultRulesFile, "file of rules")
+	set.StringVar(&f.file, "file", defaultRulesFile, "rules file")
 	set.StringVar(&f.at, "at", "", "time of the call (default now)")
 	set.StringVar(&f.class, "class", "", "class of the call")
-	set.StringVar(&f.callID, "call", "", "id of the call, which decides draws by weight")
+	set.StringVar(&f.callID, "call", "", "id of the call, which seeds weighted draws")
 	set.StringVar(&f.moved, "moved", "", "routing number of a ported number")
 	set.BoolVar(&f.explain, "explain", false, "print each step from the digits to the pools")
 	addJSONFlag(c, &f.asJSON)
@@ -46,7 +46,7 @@
 	return c
 }
 
-// query returns the query that the flags describe.
+// query builds the query from the flags.
 func (f *showFlags) query(number string, now time.Time) (*numbering.Query, error) {
 	at, err := cli.ParseTime(f.at, now)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	digits, ok := numbering.ParseDigits(strings.TrimPrefix(f.moved, "+"))
 	if !ok {
-		return nil, cli.UsageErrorf("--moved: %q is no routing number", f.moved)
+		return nil, cli.UsageErrorf("--moved: %q is not a routing number", f.moved)
 	}
 	q.Ported = numbering.PortingResult{State: numbering.Ported, Routing: digits}
 	return q, nil
@@ -111,7 +111,7 @@
 	return cli.Table(c.OutOrStdout(), f.asJSON, analysis, []string{"WHAT", "VALUE"}, analysis.rows())
 }
 
-// rows returns the analysis as a table of names and values.
+// rows returns the analysis as table rows of names and values.
 func (a *jsonAnalysis) rows() [][]string {
 	rows := [][]string{{"number", a.Number}, {"verdict", a.Verdict}}
 	if a.Cause != 0 {
--- a/cmd/olivectl/numbers_test.go
+++ b/cmd/olivectl/numbers_test.go
@@ -9,7 +9,7 @@
 
 const exampleRules = "../../deploy/numbers.example.toml"
 
-// The example is valid, and all errors of an invalid file are reported at once, by entry.
+// The example file is valid, and all errors of an invalid file are reported together, with their entries.
 func TestNumbers(t *testing.T) {
 	if out, err := run(t, "numbers", "check", exampleRules); err != nil || !strings.Contains(out, "good; digest") {
 		t.Errorf("%v: %s", err, out)
--- a/cmd/olivectl/peers.go
+++ b/cmd/olivectl/peers.go
@@ -17,9 +17,9 @@
 )
 
 var errNoOverloadControl = errors.New(
-	"distributed overload control is off; section [share] of its operator's file switches it on")
+	"distributed overload control is disabled; section [share] of the operator's file enables it")
 
-// jsonPeer is the overload control state of an instance, as JSON shows it.
+// jsonPeer is the JSON form of the overload control state of an instance.
 type jsonPeer struct {
 	Instance string          `json:"instance"`
 	State    *overload.State `json:"state,omitempty"`
@@ -32,11 +32,11 @@
 	var server string
 	c := &cobra.Command{
 		Use:   "peers",
-		Short: "Show the overload control between instances: aggregator, members and throttled servers",
+		Short: "Show distributed overload control: aggregator, members and throttled servers",
 		Args:  cobra.NoArgs,
 		Long: "peers shows the state of distributed overload control (section [share] of the operator's file). With\n" +
-			"--explain it shows one server: the load that each instance sees there, the limits that the aggregator\n" +
-			"sends, and the sums from which the aggregator computes them.",
+			"--explain it shows one server: the load that each instance measures there, the limits that the\n" +
+			"aggregator sends, and the totals from which the aggregator computes them.",
 		Example: "  olivectl peers --agent 127.0.0.1:2950\n" +
 			"  olivectl peers --explain s-00c41f7a --admin 127.0.0.1:2945",
 		RunE: func(c *cobra.Command, _ []string) error { return showPeers(c, &f, server, asJSON) },
@@ -47,7 +47,7 @@
 	return c
 }
 
-// showPeers prints the state of all targets. An instance without one is an error after the output.
+// showPeers prints the state of all targets. Instances that have no state are returned as errors after the output.
 func showPeers(c *cobra.Command, f *targetFlags, server string, asJSON bool) error {
 	targets, err := f.targets(c.Context())
 	if err != nil {
@@ -75,7 +75,7 @@
 	return errors.Join(append([]error{err}, failures...)...)
 }
 
-// auditOverload asks an instance for its overload control state.
+// auditOverload requests the overload control state of an instance.
 func auditOverload(ctx context.Context, admin string) (*overload.State, error) {
 	reply, err := adminapi.Send(ctx, admin, adminapi.AuditCommand(adminapi.OverloadTermination))
 	if err != nil {
@@ -88,7 +88,7 @@
 	return state, nil
 }
 
-// peerTable returns a row for each instance with a state.
+// peerTable returns the table of the instances that have a state.
 func peerTable(peers []jsonPeer) (heading []string, rows [][]string) {
 	majority := majorityAggregator(peers)
 	for _, peer := range peers {
@@ -118,15 +118,15 @@
 func peerNote(s *overload.State, majority int) string {
 	var notes []string
 	if s.Aggregator != majority {
-		notes = append(notes, "most obey another")
+		notes = append(notes, "most instances follow another aggregator")
 	}
 	if s.Partitioned {
-		notes = append(notes, "may be a part")
+		notes = append(notes, "may be partitioned")
 	}
 	return strings.Join(notes, ", ")
 }
 
-// majorityAggregator returns the aggregator that most instances follow; of two equally frequent ones the lower number.
+// majorityAggregator returns the aggregator that most instances follow, and the lower number in case of a tie.
 func majorityAggregator(peers []jsonPeer) int {
 	followers := make(map[int]int)
 	for _, peer := range peers {
@@ -158,7 +158,7 @@
 	return count
 }
 
-// formatAge formats how long ago something was; a negative age is never.
+// formatAge formats the time since an event. A negative age means that there was no event.
 func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "-"
@@ -166,7 +166,8 @@
 	return age.Round(10 * time.Millisecond).String()
 }
 
-// explainTable returns what each instance sees of one server and, of an aggregator, the sums for it.
+// explainTable returns the load that each instance measures at one server and, for an aggregator, the totals for that
+// server.
 func explainTable(peers []jsonPeer, server string) (heading []string, rows [][]string) {
 	key := overload.ServerKey(server)
 	for _, peer := range peers {
@@ -191,11 +192,11 @@
 	return heading, rows
 }
 
-// sampleRow returns what an instance sees of a server, and the limit that it applies there.
+// sampleRow returns the load that an instance measures at a server, and the limit that it applies there.
 func sampleRow(instance string, aggregator int, s *overload.ServerState) []string {
 	setupTime := s.SetupTime
 	if setupTime == 0 {
-		setupTime = -1 // not known
+		setupTime = -1 // not measured
 	}
 	claimedWait := "-"
 	if s.Limited {
@@ -225,7 +226,7 @@
 	return strings.Join(parts, " ")
 }
 
-// aggregateRow returns the sums of an aggregator for a server, and the rate that it admits.
+// aggregateRow returns the totals of an aggregator for a server, and the rate that it admits.
 func aggregateRow(instance string, a *overload.AggregateState) []string {
 	admittedRate := "no limit"
 	if !math.IsInf(a.AdmittedRate, 1) {
--- a/cmd/olivectl/records.go
+++ b/cmd/olivectl/records.go
@@ -16,15 +16,15 @@
 	c := &cobra.Command{
 		Use:   "records",
 		Short: "Read the records of instances",
-		Long: "The records commands read stores: the folders that [records] of olivedale.toml names. DIR is a\n" +
-			"store or a folder of stores; copies of one store are read as one. Stores may be in use.",
+		Long: "The records commands read record stores: the directories that [records] in olivedale.toml names. DIR\n" +
+			"is a store or a directory of stores; copies of one store are read as one. Stores may be in use.",
 		Example: "  olivectl records cat --call 8c1f30d27a5be964 /var/lib/olivedale/records",
 	}
 	c.AddCommand(newRecordsLsCommand(), newRecordsCatCommand(), newRecordsTailCommand(), newRecordsVerifyCommand())
 	return c
 }
 
-// findStores returns the stores in folders. It fails if there is none.
+// findStores returns the record stores in dirs. It returns an error if there is none.
 func findStores(dirs []string) ([]record.Store, error) {
 	stores, err := record.Find(dirs...)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return stores, nil
 }
 
-// parseRecordTime parses a time of the command line; the empty text is 0, which is no limit.
+// parseRecordTime parses a time flag; an empty text is 0, which means no limit.
 func parseRecordTime(text string) (record.Time, error) {
 	t, err := cli.ParseTime(text, time.Now())
 	if err != nil {
@@ -48,7 +48,7 @@
 	return record.Time(t.UnixNano()), nil
 }
 
-// A timeRange is a range of record times. A limit of 0 is none.
+// A timeRange is an inclusive range of record times. A limit of 0 means no limit.
 type timeRange struct {
 	from record.Time
 	to   record.Time
@@ -71,7 +71,7 @@
 	return !isBefore && !isAfter
 }
 
-// jsonStore is a store, as JSON shows it.
+// jsonStore is the JSON form of a store.
 type jsonStore struct {
 	Instance string   `json:"instance"`
 	ID       string   `json:"store"`
@@ -85,7 +85,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:     "ls DIR...",
-		Short:   "List stores",
+		Short:   "List record stores",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  olivectl records ls /var/lib/olivedale",
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/olivectl/records_filter.go
+++ b/cmd/olivectl/records_filter.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/record"
 )
 
-// A recordFilter selects records. An empty list selects all.
+// A recordFilter selects records by the values of the flags. An empty list matches every record.
 type recordFilter struct {
 	from, to  string
 	calls     []string
@@ -24,8 +24,8 @@
 
 func (f *recordFilter) register(c *cobra.Command) {
 	set := c.Flags()
-	set.StringVar(&f.from, "from", "", "not before this time (2026-12-01T17:30:00Z, or 90m for 90 minutes ago)")
-	set.StringVar(&f.to, "to", "", "not after this time")
+	set.StringVar(&f.from, "from", "", "at or after this time (2026-12-01T17:30:00Z, or 90m for 90 minutes ago)")
+	set.StringVar(&f.to, "to", "", "at or before this time")
 	set.StringSliceVar(&f.calls, "call", nil, "of calls with these ids")
 	set.StringSliceVar(&f.servers, "server", nil, "of these servers")
 	set.StringSliceVar(&f.classes, "class", nil, "of calls of these classes (in set-ups, answers and releases)")
@@ -34,7 +34,7 @@
 	set.StringSliceVar(&f.instances, "instance", nil, "of these instances")
 }
 
-// parse parses the times and kinds of the flags.
+// parse parses the flags for times and kinds.
 func (f *recordFilter) parse() error {
 	period, err := parseTimeRange(f.from, f.to)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// matches reports whether a record is selected.
+// matches reports whether the filter selects a record.
 func (f *recordFilter) matches(h *record.Header, r *record.Record) bool {
 	return f.period.contains(r.At) &&
 		isSelected(f.calls, r.Call) &&
@@ -62,7 +62,7 @@
 		isSelected(f.kinds, r.Kind)
 }
 
-// isSelected reports whether a value is in a list, or the list is empty.
+// isSelected reports whether a list contains a value or is empty.
 func isSelected[T comparable](list []T, value T) bool {
 	return len(list) == 0 || slices.Contains(list, value)
 }
--- a/cmd/olivectl/records_print.go
+++ b/cmd/olivectl/records_print.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// outputBufferSize is in bytes.
+	// outputBufferSize is the size of the output buffer in bytes.
 	outputBufferSize = 1 << 16
-	// maxTailLines bounds the earlier records that `records tail` prints.
+	// maxTailLines limits how many existing records the command records tail prints.
 	maxTailLines = 1 << 20
-	// defaultTailLines is how many it prints if the command line does not say it.
+	// defaultTailLines is how many it prints without the flag --lines.
 	defaultTailLines = 10
-	// tailPollInterval is the time between two looks for new records.
+	// tailPollInterval is the time between two checks for new records.
 	tailPollInterval = 100 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	var p printer
 	c := &cobra.Command{
 		Use:     "cat DIR...",
-		Short:   "Print records in the order of their instances' clocks",
+		Short:   "Print records in order of time, by their instances' clocks",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  olivectl records cat --json --kind answer --from 2026-12-01T17:30:00Z /var/lib/olivedale",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -56,7 +56,7 @@
 	var lines int
 	c := &cobra.Command{
 		Use:     "tail DIR...",
-		Short:   "Print the latest records, then new ones as they are written",
+		Short:   "Print the latest records, then new records as they are written",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  olivectl records tail --kind answer,gap /var/lib/olivedale/records",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -72,16 +72,16 @@
 		},
 	}
 	p.register(c)
-	c.Flags().IntVarP(&lines, "lines", "n", defaultTailLines, "begin with this many of the latest records")
+	c.Flags().IntVarP(&lines, "lines", "n", defaultTailLines, "number of existing records to print first")
 	return c
 }
 
-// A printer writes the records that pass a filter.
+// A printer writes the records that a filter selects.
 type printer struct {
 	filter recordFilter
 	asJSON bool
 	out    *bufio.Writer
-	buffer []byte // reused from record to record
+	buffer []byte // reused for each record
 }
 
 func (p *printer) register(c *cobra.Command) {
@@ -89,7 +89,7 @@
 	c.Flags().BoolVar(&p.asJSON, "json", false, "print one JSON object per record")
 }
 
-// open parses the filter and opens the stores in folders. The caller closes the merger.
+// open parses the filter and opens the stores in dirs. The caller closes the merger.
 func (p *printer) open(c *cobra.Command, dirs []string) (*record.Merger, error) {
 	if err := p.filter.parse(); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	return record.OpenStores(stores)
 }
 
-// print writes a record if it passes the filter.
+// print writes a record if the filter selects it.
 func (p *printer) print(h *record.Header, r *record.Record) error {
 	if !p.filter.matches(h, r) {
 		return nil
@@ -120,12 +120,12 @@
 	return err
 }
 
-// printAll writes all records up to the present end of the stores.
+// printAll writes all records up to the current end of the stores.
 func (p *printer) printAll(m *record.Merger) error {
 	return forEachRecord(m, p.print)
 }
 
-// forEachRecord calls a function for each record up to the present end of the stores.
+// forEachRecord calls a function for each record up to the current end of the stores.
 func forEachRecord(m *record.Merger, do func(*record.Header, *record.Record) error) error {
 	var r record.Record
 	var h record.Header
@@ -143,7 +143,7 @@
 	}
 }
 
-// follow writes the latest records, then new ones until SIGINT or SIGTERM.
+// follow writes the latest records, then new records until SIGINT or SIGTERM.
 func (p *printer) follow(m *record.Merger, lines int) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
@@ -166,7 +166,7 @@
 	}
 }
 
-// printLatest writes the latest records among those that the stores have now.
+// printLatest writes the last records that the stores contain now.
 func (p *printer) printLatest(m *record.Merger, lines int) error {
 	type entry struct {
 		header record.Header
--- a/cmd/olivectl/records_test.go
+++ b/cmd/olivectl/records_test.go
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 )
 
-// incidentDir has the stores of a recorded incident.
+// incidentDir contains the record stores of an incident.
 const incidentDir = "../../internal/report/testdata/incident"
 
-// run executes a command line and returns what it printed.
+// run executes a command line and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	c := newRootCommand()
@@ -33,11 +33,11 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(all), "\n") {
 		if !json.Valid([]byte(line)) {
-			t.Errorf("no JSON: %s", line)
+			t.Errorf("invalid JSON: %s", line)
 		}
 	}
 	if out, err := run(t, "records", "verify", incidentDir); err == nil ||
-		!strings.Contains(out, "records 78 to 164 are lost") || err.Error() != "1 damages found" {
+		!strings.Contains(out, "records 78 to 164 are lost") || err.Error() != "damaged places found: 1" {
 		t.Errorf("%v:\n%s", err, out)
 	}
 	if out, err := run(t, "records", "verify", filepath.Join(incidentDir, "n1")); err != nil {
@@ -49,7 +49,7 @@
 	if out, err := run(t, "records", "cat", "--from", "soon", incidentDir); err == nil || !strings.Contains(err.Error(), "no time") {
 		t.Errorf("%v:\n%s", err, out)
 	}
-	// A flipped bit is reported with its offset.
+	// A flipped bit is reported with the offset of the damage.
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join(incidentDir, "n2"))); err != nil {
 		t.Fatal(err)
@@ -85,14 +85,14 @@
 		t.Error(err)
 	}
 	if _, err := run(t, "report", incidentDir); err == nil {
-		t.Error("a report without an output file was made")
+		t.Error("report succeeded without an output file")
 	}
 	if _, err := run(t, "report", t.TempDir(), "-o", page); err == nil || !strings.Contains(err.Error(), "no records") {
 		t.Error(err)
 	}
 }
 
-// Every command has an example, and one line that says what it does.
+// Every command has a short description and an example.
 func TestEveryCommandHasHelp(t *testing.T) {
 	var check func(c *cobra.Command)
 	check = func(c *cobra.Command) {
--- a/cmd/olivectl/records_verify.go
+++ b/cmd/olivectl/records_verify.go
@@ -16,10 +16,10 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "verify DIR...",
-		Short: "Read all records and report damage; exit with 1 if there is any",
+		Short: "Read all records and report damage; exit with status 1 if there is any",
 		Args:  cobra.MinimumNArgs(1),
 		Long: "verify reads every record and reports lost records and damaged bytes, with their offsets. An\n" +
-			"incomplete record at the end of a store that is in use is no damage.",
+			"incomplete record at the end of a store that is in use is not damage.",
 		Example: "  olivectl records verify /var/lib/olivedale/records",
 		RunE: func(c *cobra.Command, args []string) error {
 			stores, err := record.Find(args...)
@@ -33,7 +33,7 @@
 	return c
 }
 
-// jsonVerification is the result for one folder, as JSON shows it.
+// jsonVerification is the JSON form of the result for one directory.
 type jsonVerification struct {
 	Instance    string          `json:"instance"`
 	Dir         string          `json:"dir"`
@@ -43,12 +43,12 @@
 	Lost        uint64          `json:"lost"`
 	Duplicates  uint64          `json:"twice"`
 	Damages     []record.Damage `json:"damages"`
-	MoreDamages int             `json:"more_damages,omitempty"` // that are not in the list
+	MoreDamages int             `json:"more_damages,omitempty"` // beyond those in the list
 }
 
 func (v *jsonVerification) damageCount() int { return len(v.Damages) + v.MoreDamages }
 
-// verify reads all folders of stores, writes the results, and returns an error if there is damage.
+// verify reads all directories of the stores, writes the results, and returns an error if there is damage.
 func verify(out io.Writer, stores []record.Store, asJSON bool) error {
 	all := []jsonVerification{}
 	rows := [][]string{}
@@ -74,7 +74,7 @@
 		}
 	}
 	if damages > 0 {
-		return fmt.Errorf("%d damages found", damages)
+		return fmt.Errorf("damaged places found: %d", damages)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("%s: %s: %d bytes, %s%s", place, d.Cause, d.Bytes, d.Text, lost)
 }
 
-// verifyDir reads all records of one folder of a store.
+// verifyDir reads all records in one directory of a store.
 func verifyDir(dir, instance string) (jsonVerification, error) {
 	reader, err := record.OpenDir(dir)
 	if err != nil {
@@ -130,11 +130,11 @@
 	isTorn := size > 0 && !record.Live(dir)
 	if isTorn {
 		v.Damages = append(v.Damages, record.Damage{
-			File: file, Offset: offset, Bytes: size, Cause: record.Damaged, Text: "a torn tail",
+			File: file, Offset: offset, Bytes: size, Cause: record.Damaged, Text: "incomplete record at the end",
 		})
 	}
 	if v.Damages == nil {
-		v.Damages = []record.Damage{} // JSON shows an empty list, not null
+		v.Damages = []record.Damage{} // encoded as an empty list, not null
 	}
 	return v, nil
 }
--- a/cmd/olivectl/report.go
+++ b/cmd/olivectl/report.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// standardOutput is the file name that means standard output.
+	// standardOutput is the file name that stands for standard output.
 	standardOutput = "-"
-	// progressInterval is the time between two updates of the progress on a terminal.
+	// progressInterval is the least time between updates of the progress display.
 	progressInterval = 200 * time.Millisecond
-	// clearLine moves the cursor to the start of a terminal's line and clears it.
+	// clearLine is the terminal escape sequence that clears the current line.
 	clearLine = "\r\033[K"
 )
 
-// reportFlags are the flags of `report`.
+// reportFlags are the flags of the report command.
 type reportFlags struct {
 	html     string
 	json     string
@@ -40,8 +40,8 @@
 		Use:   "report DIR... -o FILE.html",
 		Short: "Write an incident report from records",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "report reads stores and writes one HTML file that needs no other file, and the same as JSON if\n" +
-			"--json names a file (- for standard output). DIR is a store or a folder of stores.",
+		Long: "report reads record stores and writes a self-contained HTML file, and the same data as JSON if\n" +
+			"--json names a file (- for standard output). DIR is a store or a directory of stores.",
 		Example: "  olivectl report /var/lib/olivedale -o incident.html" +
 			" --from 2026-12-01T17:00:00Z --to 2026-12-01T18:00:00Z",
 		RunE: func(c *cobra.Command, args []string) error { return makeReport(c, &f, args) },
@@ -49,15 +49,15 @@
 	set := c.Flags()
 	set.StringVarP(&f.html, "output", "o", "", "write HTML to this file")
 	set.StringVar(&f.json, "json", "", "write JSON to this file, - for standard output")
-	set.StringVar(&f.from, "from", "", "count calls from this time on, by the clock of their instance")
-	set.StringVar(&f.to, "to", "", "count calls up to this time")
-	set.IntVar(&f.workers, "workers", 0, "stores that are read in parallel (default: one per core)")
+	set.StringVar(&f.from, "from", "", "include calls from this time on, by the clock of their instance")
+	set.StringVar(&f.to, "to", "", "include calls up to this time")
+	set.IntVar(&f.workers, "workers", 0, "number of stores to read in parallel (default: one per core)")
 	return c
 }
 
 func makeReport(c *cobra.Command, f *reportFlags, dirs []string) error {
 	if f.html == "" && f.json == "" {
-		return cli.UsageErrorf("name a file: -o FILE.html, --json FILE, or both")
+		return cli.UsageErrorf("an output file is required: -o FILE.html, --json FILE, or both")
 	}
 	period, err := parseTimeRange(f.from, f.to)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return f.write(c.OutOrStdout(), result)
 }
 
-// readReport reads stores, with a display of the progress if standard error is a terminal.
+// readReport reads stores, and shows its progress if standard error is a terminal.
 func readReport(ctx context.Context, stores []record.Store, o report.Options) (*report.Result, error) {
 	if cli.IsTerminal(os.Stderr) {
 		o.Progress = newProgressDisplay(os.Stderr, len(stores))
@@ -85,7 +85,7 @@
 	return report.Read(ctx, stores, o)
 }
 
-// newProgressDisplay returns a function that shows how many stores and records have been read.
+// newProgressDisplay returns a callback that shows how many stores and records have been read.
 func newProgressDisplay(terminal io.Writer, stores int) func(done int, records uint64) {
 	start := time.Now()
 	var lastUpdate time.Time
@@ -101,7 +101,7 @@
 	}
 }
 
-// write writes the report in the forms that the flags name.
+// write writes the report as HTML and as JSON, as the flags select.
 func (f *reportFlags) write(out io.Writer, result *report.Result) error {
 	if f.html != "" {
 		writeHTML := func(w io.Writer) error { return result.WriteHTML(w, time.Now()) }
--- a/cmd/olivectl/targets.go
+++ b/cmd/olivectl/targets.go
@@ -9,13 +9,13 @@
 	"olivedale/internal/console"
 )
 
-// A target is an instance that a command addresses.
+// A target is an instance that a command is sent to.
 type target struct {
-	name  string // its admin address if the instance is not known by an agent
+	name  string // the admin address for an instance given by --admin
 	admin string
 }
 
-// targetFlags say which instances a command addresses.
+// targetFlags select the instances that a command is sent to.
 type targetFlags struct {
 	agent  string
 	admins []string
@@ -27,7 +27,7 @@
 		"admin addresses of instances (default: all running ones of the agent)")
 }
 
-// targets returns the instances. It fails if there is none.
+// targets returns the selected instances. It returns an error if there is none.
 func (f *targetFlags) targets(ctx context.Context) ([]target, error) {
 	var all []target
 	if len(f.admins) > 0 {
--- a/cmd/olivectl/top.go
+++ b/cmd/olivectl/top.go
@@ -23,13 +23,13 @@
 	maxTopInterval = time.Minute
 )
 
-// Widths of tables without a terminal, in columns.
+// Widths of tables that are not shown on an interactive terminal, in columns.
 const (
 	singleTableWidth   = 160 // of --once
 	repeatedTableWidth = 79
 )
 
-// topFlags are the flags of `top`.
+// topFlags are the flags of the top command.
 type topFlags struct {
 	agents   []string
 	records  []string
@@ -47,29 +47,29 @@
 		Use:   "top",
 		Short: "Monitor a fleet on the terminal",
 		Long: "top shows instances, servers, classes, events and calls: as agents report them (--agent), from live\n" +
-			"stores on this machine (--records), or from recorded stores (--replay). Single calls are in records\n" +
-			"only. Without a terminal, or on one without cursor control, it prints tables one after the other.",
+			"stores on this machine (--records), or from recorded stores (--replay). Individual calls are shown\n" +
+			"only from records. Without a terminal, or on one without cursor control, it prints successive tables.",
 		Example: "  olivectl top --agent 10.0.0.4:2950 --agent 10.0.0.5:2950\n" +
 			"  olivectl top --replay /var/lib/olivedale --at 2026-12-01T17:30:00Z --speed 10",
 		RunE: func(c *cobra.Command, _ []string) error { return runTop(c, &f) },
 	}
 	set := c.Flags()
 	set.StringSliceVar(&f.agents, "agent", []string{defaultAgent}, "addresses of agents")
-	set.StringSliceVar(&f.records, "records", nil, "follow these stores, or the stores in these folders")
-	set.StringSliceVar(&f.replay, "replay", nil, "play these stores, or the stores in these folders")
+	set.StringSliceVar(&f.records, "records", nil, "follow these record stores, or the stores in these directories")
+	set.StringSliceVar(&f.replay, "replay", nil, "replay these record stores, or the stores in these directories")
 	set.Float64Var(&f.speed, "speed", 1, "speed of the replay, 1/16 to 4096")
 	set.StringVar(&f.at, "at", "", "start of the replay (2026-12-01T17:30:00Z, or 90m for 90 minutes ago)")
-	set.DurationVar(&f.interval, "interval", time.Second, "time between two updates")
+	set.DurationVar(&f.interval, "interval", time.Second, "interval between updates")
 	set.BoolVar(&f.once, "once", false, "print one table and exit")
 	set.BoolVar(&f.asJSON, "json", false, "print one snapshot as JSON and exit")
 	c.MarkFlagsMutuallyExclusive("agent", "records", "replay")
 	return c
 }
 
-// isSingle reports whether one snapshot is printed.
+// isSingle reports whether the command prints one snapshot and exits.
 func (f *topFlags) isSingle() bool { return f.once || f.asJSON }
 
-// newSource checks the flags and opens the source that they name.
+// newSource validates the flags and opens the source that they select.
 func (f *topFlags) newSource() (console.Source, error) {
 	if f.interval < minTopInterval || f.interval > maxTopInterval {
 		return nil, cli.UsageErrorf("--interval: %v is not between 100ms and 1m", f.interval)
@@ -95,7 +95,8 @@
 	return console.NewReplay(stores, start, f.speed, f.interval)
 }
 
-// replayStart returns where the replay starts, 0 for the first record. A single snapshot is one of the end.
+// replayStart returns the start time of the replay, 0 for the first record. Without --at, a single snapshot shows the
+// end of the records.
 func (f *topFlags) replayStart() (record.Time, error) {
 	now := time.Now()
 	at, err := cli.ParseTime(f.at, now)
@@ -131,7 +132,7 @@
 	}
 }
 
-// runConsole shows the console until the operator or a signal ends it.
+// runConsole runs the interactive console until the operator quits or a signal arrives.
 func runConsole(ctx context.Context, src console.Source) error {
 	final, err := tea.NewProgram(console.NewModel(ctx, src), tea.WithContext(ctx)).Run()
 	isInterrupted := ctx.Err() != nil
@@ -147,7 +148,8 @@
 	return final.(console.Model).Err()
 }
 
-// writeSnapshot writes one snapshot. Rates need two: of a source other than a replay the second one is written.
+// writeSnapshot writes one snapshot. Rates are computed from two successive snapshots, so it takes the second one,
+// except from a replay.
 func writeSnapshot(ctx context.Context, out io.Writer, src console.Source, f *topFlags) error {
 	s, err := src.Next(ctx)
 	isReplay := len(f.replay) > 0
@@ -163,7 +165,7 @@
 	return s.WriteText(out, singleTableWidth)
 }
 
-// writeTables writes snapshots one after the other until a signal or the end of a replay.
+// writeTables writes successive snapshots until a signal or the end of a replay.
 func writeTables(ctx context.Context, out io.Writer, src console.Source) error {
 	for {
 		s, err := src.Next(ctx)
