--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -26,7 +26,7 @@
 	maxShrinkTries   = 20
 )
 
-// temporaryPattern names the directories of runs that are not kept.
+// temporaryPattern is the name pattern of temporary directories of runs.
 const temporaryPattern = "olivesim-cluster-"
 
 // clusterFlags are the flags of runs with real processes.
@@ -44,13 +44,13 @@
 	c.Flags().StringVar(&f.programs, "bin", "", "sockets: directory of the programs (default: that of this one)")
 	c.Flags().StringVar(&f.dir, "dir", "",
 		"sockets: directory for schedules, records and results (default: a temporary one)")
-	c.Flags().StringVar(&f.schedule, "schedule", "", "sockets: inject the faults of this file instead of drawn ones")
-	c.Flags().StringVar(&f.page, "page", "", "sockets: file for a page with the faults and the calls of each zone")
-	c.Flags().IntVar(&f.faults, "faults", 8, "sockets: number of faults that are drawn for each day")
+	c.Flags().StringVar(&f.schedule, "schedule", "", "sockets: inject the faults of this file instead of generated ones")
+	c.Flags().StringVar(&f.page, "page", "", "sockets: HTML file to write, with the faults and the calls of each zone")
+	c.Flags().IntVar(&f.faults, "faults", 8, "sockets: number of faults to generate for each day")
 	c.Flags().DurationVar(&f.length, "for", 20*time.Second, "sockets: how long callers send calls")
 }
 
-// options returns the options of a run without its directory.
+// options returns the options of a run, except for its directory.
 func (f *clusterFlags) options(sc *scenario.Scenario, seed uint64, progress io.Writer) (cluster.Options, error) {
 	topology := cluster.Topology{
 		Controllers:     sc.Fleet.Controllers,
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// loadSchedule reads the schedule of --schedule, or draws one from the seed.
+// loadSchedule reads the schedule of --schedule, or generates one from the seed.
 func (f *clusterFlags) loadSchedule(topology *cluster.Topology, seed uint64) (*cluster.Schedule, error) {
 	if f.schedule != "" {
 		return cluster.LoadSchedule(f.schedule)
@@ -100,7 +100,7 @@
 	return cluster.DrawSchedule(topology, f.faults, f.length, seed), nil
 }
 
-// runDirectory returns the directory of a run: that of the seed in --dir, or a new temporary one.
+// runDirectory returns the directory of a run: a subdirectory of --dir for the seed, or a new temporary one.
 func (f *clusterFlags) runDirectory(seed uint64) (string, error) {
 	if f.dir == "" {
 		return os.MkdirTemp("", temporaryPattern)
@@ -108,7 +108,7 @@
 	return filepath.Join(f.dir, "seed-"+strconv.FormatUint(seed, 10)), nil
 }
 
-// programDirectory returns the given directory, or that of this program for "".
+// programDirectory returns dir, or the directory of this program if dir is "".
 func programDirectory(dir string) (string, error) {
 	if dir != "" {
 		return dir, nil
@@ -120,7 +120,7 @@
 	return filepath.Dir(self), nil
 }
 
-// clusterDays are days to play with real processes.
+// clusterDays are days to run with real processes.
 type clusterDays struct {
 	path     string // of the scenario
 	scenario *scenario.Scenario
@@ -128,9 +128,9 @@
 	asJSON   bool
 }
 
-// play plays days with real processes and prints the outcome of each. A schedule is played once, with the first
+// run runs days with real processes and prints the result of each. A schedule of --schedule is run once, with the first
 // seed. It returns an error if an invariant was violated.
-func (f *clusterFlags) play(ctx context.Context, c *cobra.Command, days clusterDays) error {
+func (f *clusterFlags) run(ctx context.Context, c *cobra.Command, days clusterDays) error {
 	seeds := days.seeds
 	if f.schedule != "" {
 		seeds = seeds[:1]
@@ -138,7 +138,7 @@
 	var results []*cluster.Result
 	violations := 0
 	for _, seed := range seeds {
-		res, err := f.playDay(ctx, c, days, seed)
+		res, err := f.runDay(ctx, c, days, seed)
 		if err != nil {
 			return err
 		}
@@ -156,9 +156,9 @@
 	return violationError(violations)
 }
 
-// playDay plays a day, saves its result and prints it. Its directory remains if --dir names it or if an invariant
-// was violated.
-func (f *clusterFlags) playDay(
+// runDay runs a day, saves its result and prints it. Its directory is kept if --dir is set or an invariant was
+// violated.
+func (f *clusterFlags) runDay(
 	ctx context.Context, c *cobra.Command, days clusterDays, seed uint64,
 ) (*cluster.Result, error) {
 	progress := c.OutOrStdout()
@@ -197,7 +197,7 @@
 	return res, nil
 }
 
-// writePage writes the page of --page, a section for each day.
+// writePage writes the page of --page, with a section for each day.
 func (f *clusterFlags) writePage(results []*cluster.Result) error {
 	if f.page == "" {
 		return nil
@@ -214,9 +214,9 @@
 }
 
 func printClusterViolations(w io.Writer, res *cluster.Result) {
-	for _, breach := range res.Violations {
-		_, _ = fmt.Fprintln(w, breach)
-		for _, event := range breach.PrecedingEvents {
+	for _, violation := range res.Violations {
+		_, _ = fmt.Fprintln(w, violation)
+		for _, event := range violation.PrecedingEvents {
 			_, _ = fmt.Fprintln(w, "  ", event)
 		}
 	}
--- a/cmd/olivesim/clustershrink.go
+++ b/cmd/olivesim/clustershrink.go
@@ -11,21 +11,21 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// clusterShrink is a schedule to shrink: that of --schedule, or the one drawn from the seed.
+// clusterShrink selects the schedule to shrink: that of --schedule, or the one generated from the seed.
 type clusterShrink struct {
 	scenario *scenario.Scenario
 	seed     uint64
-	tries    int    // runs of each smaller schedule
-	file     string // for the smallest schedule
+	tries    int    // runs of each candidate schedule
+	file     string // output file for the smallest schedule
 }
 
-// shrink finds the fewest faults of a schedule that still violate an invariant, and saves them as a schedule.
+// shrink reduces a schedule to the fewest faults that still violate an invariant, and saves the result.
 func (f *clusterFlags) shrink(ctx context.Context, progress io.Writer, s clusterShrink) error {
 	if s.tries < 1 || s.tries > maxShrinkTries {
 		return cli.UsageErrorf("--tries is 1 to %d", maxShrinkTries)
 	}
 	if s.file == "" {
-		return cli.UsageErrorf("-o names the file for the smaller schedule")
+		return cli.UsageErrorf("-o names the file for the smaller schedule; it is required")
 	}
 	options, err := f.options(s.scenario, s.seed, io.Discard)
 	if err != nil {
@@ -34,7 +34,7 @@
 	isViolated := func(candidate *cluster.Schedule) (bool, error) {
 		candidateOptions := options
 		candidateOptions.Schedule = candidate
-		return playCandidate(ctx, progress, candidateOptions)
+		return runCandidate(ctx, progress, candidateOptions)
 	}
 	smallest, err := cluster.Shrink(ctx, options.Schedule, s.tries, isViolated)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return smallest.Save(s.file)
 }
 
-// playCandidate plays a schedule in a temporary directory and reports whether an invariant was violated.
-func playCandidate(ctx context.Context, progress io.Writer, options cluster.Options) (bool, error) {
+// runCandidate runs a schedule in a temporary directory and reports whether an invariant was violated.
+func runCandidate(ctx context.Context, progress io.Writer, options cluster.Options) (bool, error) {
 	dir, err := os.MkdirTemp("", temporaryPattern)
 	if err != nil {
 		return false, err
--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -19,7 +19,7 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// comparison is what compare prints of a scenario.
+// comparison is the result of compare for one scenario.
 type comparison struct {
 	Scenario    string                  `json:"scenario"`
 	Base        string                  `json:"base"`
@@ -31,33 +31,33 @@
 	var base revision.Options
 	c := &cobra.Command{
 		Use:   "compare SCENARIO.toml... --base REV",
-		Short: "Play the same days with this program and with an earlier commit",
+		Short: "Run the same days with this program and with an earlier commit",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "compare builds the product of an earlier commit with today's simulator, in a work tree that it\n" +
-			"removes afterwards, and plays the same seeds with both. A commit from before a change of the module\n" +
-			"path plays with its own simulator; standard error says which of the two was built. Differences are\n" +
-			"taken day by day; where the interval includes zero, the table says so.",
+		Long: "compare builds the product of an earlier commit with the present simulator, in a work tree that it\n" +
+			"removes afterwards, and runs the same seeds with both. A commit that has another module path is run\n" +
+			"with its own simulator; standard error says which of the two was built. Differences are computed day\n" +
+			"by day; the table marks those whose confidence interval includes zero.",
 		Example: "  olivesim compare deploy/sim/*.toml --base HEAD~3 --days 24",
 		RunE: func(c *cobra.Command, scenarios []string) error {
 			return runCompare(c, scenarios, days, base)
 		},
 	}
 	days.register(c, 16)
-	c.Flags().StringVar(&base.Revision, "base", "", "commit, branch or tag to compare with")
-	c.Flags().StringVar(&base.Repository, "repository", ".", "the repository")
+	c.Flags().StringVar(&base.Revision, "base", "", "commit, branch or tag to compare with (required)")
+	c.Flags().StringVar(&base.Repository, "repository", ".", "path of the repository")
 	c.Flags().BoolVar(&base.PolicyOnly, "module", false,
-		"take the decision module only from that commit, and all else from HEAD")
+		"take only the decision module from that commit, and all else from HEAD")
 	return c
 }
 
-// runCompare builds the base and compares it with this program, one scenario after the other.
+// runCompare builds the base and compares it with this program for each scenario.
 func runCompare(c *cobra.Command, scenarios []string, days dayFlags, base revision.Options) error {
 	seeds, err := days.seeds()
 	if err != nil {
 		return err
 	}
 	if base.Revision == "" {
-		return cli.UsageErrorf("--base names the commit to compare with")
+		return cli.UsageErrorf("--base is required: it names the commit to compare with")
 	}
 	ctx, stop := cli.SignalContext(c)
 	defer stop()
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// compareScenario plays the days of a scenario with the base and with this program.
+// compareScenario runs the days of a scenario with the base and with this program.
 func compareScenario(
 	ctx context.Context, base *revision.Build, path string, days dayFlags, seeds []uint64,
 ) (*comparison, error) {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	baseResults, err := playBase(ctx, base, path, days)
+	baseResults, err := runBase(ctx, base, path, days)
 	if err != nil {
 		return nil, err
 	}
@@ -112,18 +112,18 @@
 	return &comparison{Scenario: sc.Name, Base: base.Commit, Differences: differences}, nil
 }
 
-// playBase has the base's program play the days.
-func playBase(ctx context.Context, base *revision.Build, path string, days dayFlags) ([]*result.Result, error) {
+// runBase runs the days with the program of the base.
+func runBase(ctx context.Context, base *revision.Build, path string, days dayFlags) ([]*result.Result, error) {
 	program := exec.CommandContext(ctx, base.Program, "run", path, "--json",
 		"--seed", strconv.FormatUint(days.firstSeed, 10), "--days", strconv.Itoa(days.count))
 	program.Stderr = os.Stderr
 	output, err := program.Output()
 	if err != nil {
-		return nil, fmt.Errorf("playing %s with %.12s: %w", path, base.Commit, err)
+		return nil, fmt.Errorf("run %s with %.12s: %w", path, base.Commit, err)
 	}
 	var results []*result.Result
 	if err := json.Unmarshal(output, &results); err != nil {
-		return nil, fmt.Errorf("results of %.12s: %w", base.Commit, err)
+		return nil, fmt.Errorf("decode results of %.12s: %w", base.Commit, err)
 	}
 	return results, nil
 }
--- a/cmd/olivesim/compare_test.go
+++ b/cmd/olivesim/compare_test.go
@@ -15,7 +15,7 @@
 	"olivedale/internal/sim/revision/revisiontest"
 )
 
-// printsGolden is a program that prints the committed results of a day, whatever its arguments.
+// printsGolden is the source of a program that prints the golden results of a day, whatever its arguments.
 const printsGolden = `package main
 
 import (
@@ -29,7 +29,7 @@
 func main() { os.Stdout.Write(results) }
 `
 
-// A commit with another module path plays with its own program, and its results are compared.
+// A commit with another module path is run with its own simulator, and its results are compared.
 func TestCompareWithOtherModulePath(t *testing.T) {
 	t.Parallel()
 	repository, base := newRenamedRepository(t)
@@ -60,7 +60,7 @@
 	}
 }
 
-// The decision module of a commit with another module path is refused with the reason.
+// The decision module of a commit with another module path is rejected with an error that states both paths.
 func TestCompareModuleOfOtherModulePath(t *testing.T) {
 	t.Parallel()
 	repository, base := newRenamedRepository(t)
@@ -78,7 +78,7 @@
 	}
 }
 
-// newRenamedRepository makes a repository whose module path changed after a commit, and returns its directory
+// newRenamedRepository creates a repository whose module path changed after a commit, and returns its directory
 // and that commit. The commit's program prints the results of the golden day "sever".
 func newRenamedRepository(t *testing.T) (directory, base string) {
 	t.Helper()
--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -11,7 +11,7 @@
 	"olivedale/internal/sim/sabourin"
 )
 
-// Parameters of the curves. An offered load of maxOfferedLoad is included.
+// Parameters of the curves. The last point is at maxOfferedLoad.
 const (
 	offeredLoadStep  = 0.1
 	maxOfferedLoad   = 2.5
@@ -19,13 +19,13 @@
 	simulationSeed   = 1
 )
 
-// rejectionCosts are the costs of a rejected call over that of an accepted one, a curve for each.
+// rejectionCosts are the costs of a rejected call relative to an accepted one, with one curve for each.
 var rejectionCosts = []float64{0, 0.3, 0.5}
 
-const curveDescription = "Sabourin's control by counting calls in front of the emulated exchange (lines) and " +
-	"his theory (dashed), for rejected calls that cost nothing, 30% and 50% of an accepted one. Thresholds 0.8 and " +
-	"0.9, periods of 100 ms and a window of 3 s as in the paper; half of the calls outgoing, four in ten incoming " +
-	"and one in ten urgent, which is the project's choice."
+const curveDescription = "Sabourin's overload control by call counting, in front of the emulated exchange (solid) " +
+	"and by his theory (dashed), for rejected calls that cost 0%, 30% and 50% of an accepted one. Thresholds of 0.8 and " +
+	"0.9, periods of 100 ms and a window of 3 s as in the paper. The mix of calls is this project's choice: half " +
+	"outgoing, four in ten incoming and one in ten urgent."
 
 func curveCommand() *cobra.Command {
 	var file string
@@ -42,10 +42,10 @@
 			if err != nil {
 				return err
 			}
-			return writePage(file, "Overload control by counting calls", []plot.Part{part})
+			return writePage(file, "Overload control by call counting", []plot.Part{part})
 		},
 	}
-	c.Flags().StringVarP(&file, "out", "o", "", "the file to write")
+	c.Flags().StringVarP(&file, "out", "o", "", "output file")
 	return c
 }
 
@@ -71,7 +71,7 @@
 }
 
 // curvesForCost returns the handled load by simulation and by theory for a cost of rejections, with the rows of
-// the table. Loads without a steady state are not simulated.
+// the table. Offered loads without a steady state are not simulated.
 func curvesForCost(cost float64) (simulated, theory plot.Curve, rows [][]string) {
 	mix := sabourin.Paper(cost)
 	simulated.Name = fmt.Sprintf("rejected calls cost %v", cost)
--- a/cmd/olivesim/days.go
+++ b/cmd/olivesim/days.go
@@ -11,11 +11,11 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// maxDays bounds the days of a command.
+// maxDays is the maximum of --days.
 const maxDays = 10000
 
-// dayFlags are the flags that select the days to play and the output of the results. A day is one run of a
-// scenario with a seed.
+// dayFlags are the flags that select the days to simulate and the output of the results. A day is one run of a
+// scenario with one seed.
 type dayFlags struct {
 	firstSeed uint64
 	count     int
@@ -25,9 +25,9 @@
 
 // register adds the flags to a command.
 func (d *dayFlags) register(c *cobra.Command, defaultCount int) {
-	c.Flags().Uint64Var(&d.firstSeed, "seed", 1, "first seed")
-	c.Flags().IntVar(&d.count, "days", defaultCount, "days to play, each with its own seed")
-	c.Flags().StringVarP(&d.file, "out", "o", "", "file for the results")
+	c.Flags().Uint64Var(&d.firstSeed, "seed", 1, "seed of the first day")
+	c.Flags().IntVar(&d.count, "days", defaultCount, "number of days to simulate, each with its own seed")
+	c.Flags().StringVarP(&d.file, "out", "o", "", "output file for the results")
 	c.Flags().BoolVar(&d.asJSON, "json", false, "print JSON")
 }
 
@@ -49,7 +49,7 @@
 	return sc, seeds, err
 }
 
-// save writes the results to the file, if one is named.
+// save writes the results to the file of -o, if there is one.
 func (d *dayFlags) save(f *experiment.File) error {
 	if d.file == "" {
 		return nil
@@ -57,17 +57,17 @@
 	return f.Save(d.file)
 }
 
-// newFile returns an experiment of this program on this machine, without results.
+// newFile returns an experiment with the version of this program and the machine, without results.
 func newFile(sc *scenario.Scenario) *experiment.File {
 	return &experiment.File{Scenario: sc, Commit: cli.Version(), Machine: experiment.Machine()}
 }
 
-// simulationOptions are the options of runs in virtual time.
+// simulationOptions returns the default options of runs in virtual time.
 func simulationOptions() virtualtime.Options {
 	return virtualtime.Options{StartPeer: overloadpeers.Start}
 }
 
-// intervalHeading are the columns of intervalCells, after the name of the figure.
+// intervalHeading is the heading of the columns of intervalCells that follow the mean.
 var intervalHeading = []string{"95%", "WORST DAY"}
 
 // intervalCells formats the mean, the confidence interval and the worst day of a figure for a table.
--- a/cmd/olivesim/flags_test.go
+++ b/cmd/olivesim/flags_test.go
@@ -15,7 +15,7 @@
 
 const quietScenario = "../../deploy/sim/quiet.toml"
 
-// execute runs a command and returns its standard output.
+// execute runs a command and returns what it wrote to standard output.
 func execute(c *cobra.Command, args ...string) (string, error) {
 	var stdout bytes.Buffer
 	c.SilenceUsage = true
@@ -27,7 +27,7 @@
 	return stdout.String(), err
 }
 
-// A wrong value of a flag is an error that names the flag.
+// An invalid value of a flag is an error that names the flag.
 func TestFlagErrors(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-// A sweep over two keys prints a row for each pair of values; its file makes a page.
+// A sweep over two keys prints a row for each pair of values, and its results file can be rendered as a page.
 func TestSweepAndReport(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/cmd/olivesim/golden_test.go
+++ b/cmd/olivesim/golden_test.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// A day in virtual time has the same result, byte for byte, as when it was committed.
+// The result of a day in virtual time matches the golden file byte for byte.
 func TestGoldenDays(t *testing.T) {
 	for name, args := range map[string][]string{
 		"sever": {"--seed", "7"},
--- a/cmd/olivesim/load.go
+++ b/cmd/olivesim/load.go
@@ -22,10 +22,10 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send calls to call controllers in an open loop",
+		Short: "Generate an open-loop load of calls to call controllers",
 		Args:  cobra.NoArgs,
-		Long: "load sends calls by a Poisson process, whether or not earlier calls were answered. Set-up times are\n" +
-			"measured from the scheduled time of a call.",
+		Long: "load sends calls by a Poisson process, without waiting for the answers to earlier calls. Set-up\n" +
+			"times are measured from the scheduled time of a call.",
 		Example: "  olivesim load --to 127.0.0.1:5060 --to 127.0.0.1:5061 --rate 200 --for 1m",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := checkLoad(&generator); err != nil {
@@ -43,12 +43,12 @@
 	}
 	f := c.Flags()
 	f.StringArrayVar(&generator.Addrs, "to", nil,
-		"address of a call controller's frontend of the platform's protocol (repeat for more)")
-	f.Float64Var(&generator.Rate, "rate", 50, "calls a second, to all controllers together")
-	f.DurationVar(&generator.Duration, "for", 10*time.Second, "how long calls are sent")
-	f.DurationVar(&generator.CallerTimeout, "left", 3*time.Second, "deadline of the calls")
+		"address of a call controller, for the platform's protocol (repeatable)")
+	f.Float64Var(&generator.Rate, "rate", 50, "calls per second to all controllers together")
+	f.DurationVar(&generator.Duration, "for", 10*time.Second, "duration of the load")
+	f.DurationVar(&generator.CallerTimeout, "left", 3*time.Second, "time after which callers give up")
 	f.IntVar(&generator.Pools, "pools", 3, "number of preferred pools")
-	f.Uint64Var(&generator.Seed, "seed", 1, "seed of the calls")
+	f.Uint64Var(&generator.Seed, "seed", 1, "random seed of the calls")
 	f.BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
@@ -56,7 +56,7 @@
 func checkLoad(generator *loopback.Load) error {
 	switch {
 	case len(generator.Addrs) == 0:
-		return cli.UsageErrorf("--to names a call controller")
+		return cli.UsageErrorf("--to is required: it names a call controller")
 	case generator.Rate <= 0 || generator.Rate > maxLoadRate:
 		return cli.UsageErrorf("--rate is up to %d calls a second", maxLoadRate)
 	case generator.Duration <= 0 || generator.Duration > maxLoadLength:
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// loadSummary is the outcome of a load. Its field names are the keys of the JSON.
+// loadSummary is the result of a load. Its field names are the keys of its JSON form.
 type loadSummary struct {
 	Sent, Stood, Refused, Failed, GaveUp, Lost, NotSent int
 	P50, P99, P999                                      string // set-up times
 }
 
-// loadHeading are the columns of loadSummary.row.
+// loadHeading is the heading of the columns of loadSummary.row.
 var loadHeading = []string{
 	"SENT", "ESTABLISHED", "REJECTED", "FAILED", "ABANDONED", "LOST", "NOT SENT", "P50", "P99", "P99.9",
 }
--- a/cmd/olivesim/main.go
+++ b/cmd/olivesim/main.go
@@ -1,5 +1,5 @@
-// Command olivesim plays scenarios against call controllers, in virtual time or with real processes on loopback
-// addresses, injects faults, checks invariants and measures what a change of the product does.
+// Command olivesim simulates fleets of call controllers, in virtual time or with real processes on loopback addresses.
+// It injects faults, checks invariants and measures the effect of changes to the product.
 package main
 
 import (
@@ -14,9 +14,9 @@
 	root := &cobra.Command{
 		Use:   "olivesim",
 		Short: "Simulate call controllers with emulated exchanges, callers and faults",
-		Long: "olivesim plays scenarios: fleets of call controllers with emulated exchanges, callers and faults. In\n" +
-			"virtual time a minute takes a fraction of a second, and a seed reproduces it to the byte. Load on\n" +
-			"sockets is bounded and ends by itself; all traffic stays on loopback addresses.",
+		Long: "olivesim runs scenarios: fleets of call controllers with emulated exchanges, callers and faults. In\n" +
+			"virtual time a minute takes a fraction of a second, and a seed reproduces it byte for byte. Load on\n" +
+			"sockets is limited in rate and duration; all traffic stays on loopback addresses.",
 	}
 	root.AddCommand(
 		runCommand(),
--- a/cmd/olivesim/mode.go
+++ b/cmd/olivesim/mode.go
@@ -6,7 +6,7 @@
 	"olivedale/internal/cli"
 )
 
-// runMode is the value of --floor: how a scenario is played.
+// runMode is the value of --floor, which selects how a scenario is run.
 type runMode string
 
 const (
@@ -17,7 +17,7 @@
 // register adds the flag to a command.
 func (m *runMode) register(c *cobra.Command) {
 	c.Flags().StringVar((*string)(m), "floor", string(virtualMode),
-		"virtual: in virtual time; sockets: with real processes")
+		"how to run the scenario: virtual (in virtual time) or sockets (with real processes)")
 }
 
 // check returns a usage error for an unknown mode.
--- a/cmd/olivesim/report.go
+++ b/cmd/olivesim/report.go
@@ -15,17 +15,17 @@
 	var file, title string
 	c := &cobra.Command{
 		Use:     "report RESULTS.json... -o FILE.html",
-		Short:   "Write a page with tables and charts of stored results",
+		Short:   "Write an HTML page with tables and charts of stored results",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  olivesim report load.json coldstart.json -o study.html",
 		RunE:    func(_ *cobra.Command, paths []string) error { return writeReport(file, title, paths) },
 	}
-	c.Flags().StringVarP(&file, "out", "o", "", "the file to write")
-	c.Flags().StringVar(&title, "title", "Simulation", "the page's title")
+	c.Flags().StringVarP(&file, "out", "o", "", "output file")
+	c.Flags().StringVar(&title, "title", "Simulation", "title of the page")
 	return c
 }
 
-// writeReport writes a page with a section for each file of results.
+// writeReport writes a page with a section for each results file.
 func writeReport(file, title string, paths []string) error {
 	if file == "" {
 		return errNoOutputFile
@@ -45,10 +45,10 @@
 	return writePage(file, title, parts)
 }
 
-// errNoOutputFile says that a command that writes a page has no -o.
-var errNoOutputFile = cli.UsageErrorf("-o names the file to write")
+// errNoOutputFile is returned if a command that writes a page is called without -o.
+var errNoOutputFile = cli.UsageErrorf("-o names the file to write; it is required")
 
-// writePage writes a page to a file.
+// writePage writes an HTML page to a file.
 func writePage(path, title string, parts []plot.Part) error {
 	w, err := os.Create(path)
 	if err != nil {
--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -17,10 +17,10 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// maxPrintedViolations bounds the violations that run prints of each day.
+// maxPrintedViolations limits the violations that are printed for each day.
 const maxPrintedViolations = 3
 
-// runFlags are the flags of run.
+// runFlags are the flags of the run command.
 type runFlags struct {
 	days    dayFlags
 	mode    runMode
@@ -33,20 +33,20 @@
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run SCENARIO.toml",
-		Short: "Play a scenario, in virtual time or with real processes on sockets",
+		Short: "Run a scenario, in virtual time or with real processes on sockets",
 		Args:  cobra.ExactArgs(1),
-		Long: "run plays a scenario. In virtual time the scenario's own faults are injected, and a seed reproduces\n" +
-			"a day to the byte. With --floor sockets call controllers and agents are real processes; a proxy on\n" +
-			"each connection between them injects faults, which are drawn from the seed or read from a schedule.\n" +
-			"Each day leaves its schedule, by which it can be played again.",
+		Long: "run runs a scenario. In virtual time the scenario's own faults are injected, and a seed reproduces\n" +
+			"a day byte for byte. With --floor sockets call controllers and agents are real processes; a proxy on\n" +
+			"each connection between them injects faults, which are generated from the seed or read from a\n" +
+			"schedule. The schedule of each day is saved, so that it can be run again.",
 		Example: "  olivesim run deploy/sim/zones.toml --floor sockets --days 3 --dir days\n" +
 			"  olivesim run deploy/sim/coldstart.toml --days 20\n" +
 			"  olivesim run deploy/sim/coldstart.toml --days 1 --seed 7 --until 12s --call c1234",
 		RunE: func(c *cobra.Command, args []string) error { return f.run(c, args[0]) },
 	}
 	f.days.register(c, 8)
-	c.Flags().DurationVar(&f.until, "until", 0, "end the run at this time since its start")
-	c.Flags().StringVar(&f.callID, "call", "", "print the messages of this call")
+	c.Flags().DurationVar(&f.until, "until", 0, "end the run after this time")
+	c.Flags().StringVar(&f.callID, "call", "", "print the messages of the call with this id")
 	f.mode.register(c)
 	f.cluster.register(c)
 	return c
@@ -63,7 +63,7 @@
 	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	if f.mode == socketMode {
-		return f.cluster.play(ctx, c, clusterDays{path: path, scenario: sc, seeds: seeds, asJSON: f.days.asJSON})
+		return f.cluster.run(ctx, c, clusterDays{path: path, scenario: sc, seeds: seeds, asJSON: f.days.asJSON})
 	}
 	return f.runVirtual(ctx, c, path, sc, seeds)
 }
@@ -93,7 +93,7 @@
 	return reportViolations(c.ErrOrStderr(), path, results)
 }
 
-// options returns the options of the run; the messages of the call of --call are printed to trace.
+// options returns the options of the run. The messages of the call that --call names are printed to trace.
 func (f *runFlags) options(trace io.Writer, days int) (virtualtime.Options, error) {
 	options := simulationOptions()
 	options.Until = f.until
@@ -101,7 +101,7 @@
 		return options, nil
 	}
 	if days > 1 {
-		return options, cli.UsageErrorf("--call shows a call of one day: add --days 1")
+		return options, cli.UsageErrorf("--call applies to a single day: add --days 1")
 	}
 	options.Watch = func(e invariant.Event) {
 		if e.Call == f.callID {
@@ -111,7 +111,7 @@
 	return options, nil
 }
 
-// printFigures prints a table of the figures of the days.
+// printFigures prints a table of the figures over all days.
 func printFigures(w io.Writer, results []*result.Result) error {
 	var rows [][]string
 	for _, figure := range result.Figures {
@@ -122,29 +122,29 @@
 	return cli.Table(w, false, nil, heading, rows)
 }
 
-// reportViolations prints violations of invariants and how to reproduce them, and returns an error if there are
-// any.
+// reportViolations prints violations of invariants with the commands that reproduce them, and returns an error if there
+// are any.
 func reportViolations(w io.Writer, path string, results []*result.Result) error {
 	violations := 0
 	for _, r := range results {
-		for _, breach := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
-			printBreach(w, path, r.Seed, breach)
+		for _, violation := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
+			printViolation(w, path, r.Seed, violation)
 		}
 		violations += r.Breached()
 	}
 	return violationError(violations)
 }
 
-func printBreach(w io.Writer, path string, seed uint64, breach *invariant.Violation) {
-	_, _ = fmt.Fprintf(w, "seed %d: %v\n", seed, breach)
-	for _, event := range breach.Events {
+func printViolation(w io.Writer, path string, seed uint64, violation *invariant.Violation) {
+	_, _ = fmt.Fprintf(w, "seed %d: %v\n", seed, violation)
+	for _, event := range violation.Events {
 		_, _ = fmt.Fprintln(w, "  ", event)
 	}
-	until := (breach.At + time.Second).Truncate(time.Second)
+	until := (violation.At + time.Second).Truncate(time.Second)
 	_, _ = fmt.Fprintf(w, "reproduce: olivesim run %s --days 1 --seed %d --until %v\n", path, seed, until)
 }
 
-// violationError returns an error for a number of violations, or nil for none.
+// violationError returns an error that states the number of violations, or nil if it is 0.
 func violationError(violations int) error {
 	if violations == 0 {
 		return nil
--- a/cmd/olivesim/serve.go
+++ b/cmd/olivesim/serve.go
@@ -13,16 +13,16 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// maxServedExchanges bounds the exchanges of serve.
+// maxServedExchanges is the maximum of --exchanges.
 const maxServedExchanges = 256
 
-// servedZone is the zone of all exchanges of serve.
+// servedZone is the zone of all exchanges of the serve command.
 const servedZone = "east"
 
-// anyLoopbackPort is the address of a listener on a free port.
+// anyLoopbackPort is the listen address for a free loopback port.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// serveFlags are the flags of serve.
+// serveFlags are the flags of the serve command.
 type serveFlags struct {
 	exchanges     int
 	discoveryAddr string
@@ -36,22 +36,23 @@
 	var f serveFlags
 	c := &cobra.Command{
 		Use:     "serve",
-		Short:   "Serve emulated exchanges and their discovery on loopback",
+		Short:   "Run emulated exchanges and their discovery service on loopback",
 		Args:    cobra.NoArgs,
 		Example: "  olivesim serve --exchanges 3 --names 127.0.0.1:8600",
 		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
 	c.Flags().IntVar(&f.exchanges, "exchanges", 3, "number of exchanges")
-	c.Flags().StringVar(&f.discoveryAddr, "names", anyLoopbackPort, "address on which discovery listens")
+	c.Flags().StringVar(&f.discoveryAddr, "names", anyLoopbackPort, "address on which the discovery service listens")
 	c.Flags().StringVar(&f.firstAddr, "listen", "",
 		"address on which the first exchange listens (default: a free port)")
-	c.Flags().BoolVar(&f.isSlowStart, "cold", false, "the exchanges begin with slow start")
-	c.Flags().StringVar(&f.scenarioFile, "scenario", "", "scenario with the settings of the exchanges")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the exchanges")
+	c.Flags().BoolVar(&f.isSlowStart, "cold", false, "start the exchanges cold, with slow start")
+	c.Flags().StringVar(&f.scenarioFile, "scenario", "", "scenario file with the settings of the exchanges")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "random seed of the exchanges")
 	return c
 }
 
-// run serves exchanges and discovery until the command is interrupted, and prints the exchanges' counters.
+// run runs the exchanges and the discovery service until the command is interrupted, then prints the exchanges'
+// counters.
 func (f *serveFlags) run(c *cobra.Command) error {
 	sc, err := f.loadScenario()
 	if err != nil {
@@ -101,13 +102,13 @@
 	return scenario.Load(f.scenarioFile)
 }
 
-// servedExchange is an exchange that listens, and its entry in discovery.
+// servedExchange is a running exchange and its discovery record.
 type servedExchange struct {
 	exchange *loopback.Exchange
 	endpoint loopback.Endpoint
 }
 
-// listen starts the exchange of an index, which is its pool too.
+// listen starts the exchange with an index, which is also its pool.
 func (f *serveFlags) listen(sc *scenario.Scenario, index int) (servedExchange, error) {
 	addr := anyLoopbackPort
 	if index == 0 && f.firstAddr != "" {
@@ -125,14 +126,14 @@
 }
 
 func endpoints(served []servedExchange) []loopback.Endpoint {
-	var lines []loopback.Endpoint
+	var list []loopback.Endpoint
 	for _, s := range served {
-		lines = append(lines, s.endpoint)
+		list = append(list, s.endpoint)
 	}
-	return lines
+	return list
 }
 
-// printCounters prints a table of what the exchanges counted.
+// printCounters prints a table of the exchanges' counters.
 func printCounters(w io.Writer, served []servedExchange) error {
 	heading := []string{"EXCHANGE", "SET-UPS", "ESTABLISHED", "REJECTED", "ABANDONED", "DROPPED", "PROCESSOR TIME"}
 	var rows [][]string
--- a/cmd/olivesim/shrink.go
+++ b/cmd/olivesim/shrink.go
@@ -16,7 +16,7 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// shrinkFlags are the flags of shrink.
+// shrinkFlags are the flags of the shrink command.
 type shrinkFlags struct {
 	seed    uint64
 	file    string
@@ -29,20 +29,20 @@
 	var f shrinkFlags
 	c := &cobra.Command{
 		Use:   "shrink SCENARIO.toml --seed N",
-		Short: "Find the fewest faults with which a day still violates its invariant",
+		Short: "Find the fewest faults with which a day still violates an invariant",
 		Args:  cobra.ExactArgs(1),
-		Long: "shrink removes faults as long as the invariant is still violated. In virtual time it removes those\n" +
-			"of the scenario; with --floor sockets those of a schedule, of which each smaller one is played\n" +
-			"--tries times, since runs with real processes are not reproducible.",
+		Long: "shrink removes faults as long as an invariant is still violated. In virtual time it removes faults\n" +
+			"from the scenario, with --floor sockets from a schedule. Each candidate schedule is run --tries times,\n" +
+			"because runs with real processes are not reproducible.",
 		Example: "  olivesim shrink bad.toml --seed 17 -o small.toml\n" +
 			"  olivesim shrink deploy/sim/zones.toml --floor sockets --schedule days/seed-3/schedule.toml " +
 			"-o small.toml",
 		RunE: func(c *cobra.Command, args []string) error { return f.run(c, args[0]) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "the day's seed")
-	c.Flags().StringVarP(&f.file, "out", "o", "", "file for the smaller scenario or schedule")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the day")
+	c.Flags().StringVarP(&f.file, "out", "o", "", "output file for the smaller scenario or schedule")
 	f.mode.register(c)
-	c.Flags().IntVar(&f.tries, "tries", 2, "sockets: runs of each smaller schedule")
+	c.Flags().IntVar(&f.tries, "tries", 2, "sockets: number of runs of each candidate schedule")
 	f.cluster.register(c)
 	return c
 }
@@ -75,7 +75,7 @@
 	return errors.Join(encodeScenario(w, small), w.Close())
 }
 
-// encodeScenario writes a scenario as TOML, its faults in the order of their times.
+// encodeScenario writes a scenario as TOML, with its faults ordered by time.
 func encodeScenario(w io.Writer, sc *scenario.Scenario) error {
 	ordered := *sc
 	ordered.Fault = slices.Clone(sc.Fault)
--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -23,7 +23,7 @@
 	maxSoakParallel = 16
 )
 
-// soakFlags are the flags of soak.
+// soakFlags are the flags of the soak command.
 type soakFlags struct {
 	seeds    string
 	parallel int
@@ -35,23 +35,23 @@
 	var f soakFlags
 	c := &cobra.Command{
 		Use:   "soak --seeds FROM-TO",
-		Short: "Play short, dense trials of real controllers with faults that cross",
+		Short: "Run short trials of real controllers with overlapping faults",
 		Args:  cobra.NoArgs,
-		Long: "soak plays the stories of the seeds: a few controllers as real processes on loopback, with emulated\n" +
-			"exchanges, discovery and callers, and faults in the five combinations of acceptance. It ends by itself\n" +
-			"and fails if a rule was violated. Configurations, logs and results are in a directory for each seed.",
+		Long: "soak runs a trial for each seed: a few controllers as real processes on loopback, with emulated\n" +
+			"exchanges, discovery and callers, and faults in the five combinations of the acceptance test. It fails\n" +
+			"if a rule was violated. Configurations, logs and results are in a directory for each seed.",
 		Example: "  olivesim soak --seeds 1-50 --parallel 4 --dir /tmp/soak\n" +
 			"  olivesim soak --seeds 17",
 		RunE: func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
-	c.Flags().StringVar(&f.seeds, "seeds", "1-5", "seeds to play, FROM-TO or one")
-	c.Flags().IntVar(&f.parallel, "parallel", 4, "trials at the same time")
+	c.Flags().StringVar(&f.seeds, "seeds", "1-5", "range of seeds FROM-TO, or a single seed")
+	c.Flags().IntVar(&f.parallel, "parallel", 4, "number of trials to run in parallel")
 	c.Flags().StringVar(&f.programs, "bin", "", "directory of the programs (default: that of this one)")
 	c.Flags().StringVar(&f.dir, "dir", "", "directory for configurations, logs and results (default: a temporary one)")
 	return c
 }
 
-// seedRange returns the first and the last seed.
+// seedRange parses --seeds and returns the first and the last seed.
 func (f *soakFlags) seedRange() (first, last uint64, err error) {
 	from, to, isRange := strings.Cut(f.seeds, "-")
 	if !isRange {
@@ -61,7 +61,7 @@
 		last, err = strconv.ParseUint(to, 10, 64)
 	}
 	if err != nil || last < first || last-first >= maxSoakSeeds {
-		return 0, 0, cli.UsageErrorf("--seeds %q is no range of at most %d seeds", f.seeds, maxSoakSeeds)
+		return 0, 0, cli.UsageErrorf("--seeds %q is not a range of at most %d seeds", f.seeds, maxSoakSeeds)
 	}
 	return first, last, nil
 }
@@ -86,11 +86,11 @@
 	ctx, stop := cli.SignalContext(c)
 	defer stop()
 	s := &soakSeries{command: c, program: filepath.Join(programs, "olivedale"), dir: f.dir, startTime: time.Now()}
-	s.play(ctx, first, last, f.parallel)
+	s.run(ctx, first, last, f.parallel)
 	return s.summarize()
 }
 
-// A soakSeries plays trials and sums them up.
+// A soakSeries runs trials and adds up their results.
 type soakSeries struct {
 	command   *cobra.Command
 	program   string
@@ -102,17 +102,17 @@
 	failed     []uint64
 	violations map[string]int // by rule
 	counts     soak.Counts
-	err        error // of the harness
+	err        error // of a trial that could not be run
 }
 
-// play plays the seeds, so many at the same time, until all are played or ctx ends.
-func (s *soakSeries) play(ctx context.Context, first, last uint64, parallel int) {
+// run runs a trial for each seed, with the given parallelism, until all have run or ctx is done.
+func (s *soakSeries) run(ctx context.Context, first, last uint64, parallel int) {
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for range parallel {
-		players.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				s.playSeed(seed)
+				s.runTrial(seed)
 			}
 		})
 	}
@@ -123,13 +123,13 @@
 		}
 	}
 	close(seeds)
-	players.Wait()
+	workers.Wait()
 }
 
-// playSeed plays a trial, and leaves its result beside its logs.
-func (s *soakSeries) playSeed(seed uint64) {
+// runTrial runs the trial of a seed and adds its result.
+func (s *soakSeries) runTrial(seed uint64) {
 	dir := filepath.Join(s.dir, "seed-"+strconv.FormatUint(seed, 10))
-	result, err := s.playStory(dir, soak.GeneratePlan(seed))
+	result, err := s.runStory(dir, soak.GeneratePlan(seed))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.played++
@@ -140,16 +140,16 @@
 	s.add(seed, result)
 }
 
-func (s *soakSeries) playStory(dir string, story *soak.Plan) (*soak.Result, error) {
+func (s *soakSeries) runStory(dir string, story *soak.Plan) (*soak.Result, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	course, err := os.Create(filepath.Join(dir, "course.txt"))
+	progressLog, err := os.Create(filepath.Join(dir, "course.txt"))
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = course.Close() }()
-	result, err := soak.Run(soak.Options{Program: s.program, Dir: dir, Out: course}, story)
+	defer func() { _ = progressLog.Close() }()
+	result, err := soak.Run(soak.Options{Program: s.program, Dir: dir, Out: progressLog}, story)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	return result, os.WriteFile(filepath.Join(dir, "result.json"), text, 0o600)
 }
 
-// add prints a result and adds it to the sums. soakSeries.mu is held.
+// add prints a result and adds it to the totals. The caller holds soakSeries.mu.
 func (s *soakSeries) add(seed uint64, r *soak.Result) {
 	out := s.command.OutOrStdout()
 	n := &r.Counts
@@ -183,7 +183,7 @@
 	_, _ = fmt.Fprintf(out, "   reproduce: olivesim soak --seeds %d\n", seed)
 }
 
-// summarize prints the sums. It returns an error if a rule was violated or a trial could not be played.
+// summarize prints the totals. It returns an error if a rule was violated or a trial could not be run.
 func (s *soakSeries) summarize() error {
 	out := s.command.OutOrStdout()
 	_, _ = fmt.Fprintf(out, "%d trials in %v: %+v\n", s.played, time.Since(s.startTime).Round(time.Second), s.counts)
--- a/cmd/olivesim/sweep.go
+++ b/cmd/olivesim/sweep.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// sweepFlags are the flags of sweep.
+// sweepFlags are the flags of the sweep command.
 type sweepFlags struct {
 	days         dayFlags
 	key          string
@@ -27,10 +27,10 @@
 	var f sweepFlags
 	c := &cobra.Command{
 		Use:   "sweep SCENARIO.toml --vary KEY --values A,B,...",
-		Short: "Play a scenario with different values of a key, or of two",
+		Short: "Run a scenario with different values of one or two keys",
 		Args:  cobra.ExactArgs(1),
-		Long: "sweep plays a scenario with each of several values of a key, named as in the scenario's file\n" +
-			"(callers.load, fault.1.factor: faults are counted from 1). With --beside each value is combined with\n" +
+		Long: "sweep runs a scenario with each of several values of a key, named as in the scenario's file\n" +
+			"(callers.load, fault.1.factor; faults are numbered from 1). With --beside each value is combined with\n" +
 			"each value of a second key.",
 		Example: "  olivesim sweep deploy/sim/slow.toml --vary fault.1.factor --values 2,4,8 " +
 			"--beside fleet.controllers --besides 8,60 -o slow.json\n" +
@@ -38,11 +38,11 @@
 		RunE: func(c *cobra.Command, args []string) error { return f.run(c, args[0]) },
 	}
 	f.days.register(c, 8)
-	c.Flags().StringVar(&f.key, "vary", "", "the key, as in the scenario's file")
-	c.Flags().StringVar(&f.values, "values", "", "its values, separated by commas")
-	c.Flags().StringVar(&f.secondKey, "beside", "", "a second key")
-	c.Flags().StringVar(&f.secondValues, "besides", "", "the second key's values, separated by commas")
-	c.Flags().StringVar(&f.figure, "figure", "score", "the figure to print")
+	c.Flags().StringVar(&f.key, "vary", "", "key to vary, as in the scenario's file")
+	c.Flags().StringVar(&f.values, "values", "", "values of the key, separated by commas")
+	c.Flags().StringVar(&f.secondKey, "beside", "", "second key to vary")
+	c.Flags().StringVar(&f.secondValues, "besides", "", "values of the second key, separated by commas")
+	c.Flags().StringVar(&f.figure, "figure", "score", "figure to print")
 	return c
 }
 
@@ -66,7 +66,7 @@
 	var rows [][]string
 	for value := range strings.SplitSeq(f.values, ",") {
 		for secondValue := range strings.SplitSeq(f.secondValues, ",") {
-			point, err := f.playPoint(ctx, sc, seeds, strings.TrimSpace(value), strings.TrimSpace(secondValue))
+			point, err := f.runPoint(ctx, sc, seeds, strings.TrimSpace(value), strings.TrimSpace(secondValue))
 			if err != nil {
 				return err
 			}
@@ -80,19 +80,19 @@
 	return cli.Table(c.OutOrStdout(), f.days.asJSON, file, f.heading(), rows)
 }
 
-// check returns a usage error if keys and values do not come in pairs.
+// check returns a usage error if a key has no values or values have no key.
 func (f *sweepFlags) check() error {
 	if f.key == "" || f.values == "" {
-		return cli.UsageErrorf("--vary and --values say what changes; see the example")
+		return cli.UsageErrorf("--vary and --values are required; see the example")
 	}
 	if (f.secondKey == "") != (f.secondValues == "") {
-		return cli.UsageErrorf("--beside and --besides go together; see the example")
+		return cli.UsageErrorf("--beside and --besides must be used together; see the example")
 	}
 	return nil
 }
 
-// playPoint plays the days with a value of each key.
-func (f *sweepFlags) playPoint(
+// runPoint runs the days with one value of each key.
+func (f *sweepFlags) runPoint(
 	ctx context.Context, sc *scenario.Scenario, seeds []uint64, value, secondValue string,
 ) (experiment.Point, error) {
 	changed, err := experiment.Set(sc, f.key, value)
@@ -119,7 +119,7 @@
 	return append(heading, "INVARIANTS VIOLATED")
 }
 
-// row formats a point. Its last column is the sum over the days of the invariants that were violated on each.
+// row formats a point. Its last column is the number of violated invariants, summed over the days.
 func (f *sweepFlags) row(value, secondValue string, figure result.Figure, results []*result.Result) []string {
 	violated := 0
 	for _, r := range results {
