--- a/tools/analyzers/main.go
+++ b/tools/analyzers/main.go
@@ -1,4 +1,4 @@
-// Command analyzers runs the analyzers that go vet lacks: it is a program for go vet's flag -vettool.
+// Command analyzers provides analyzers that go vet does not include. It is run by go vet -vettool.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	// A switch without a default clause lists every value; one with a default clause handles the rest there.
+	// Accept a default clause in place of the missing values: only switches without one must list every value.
 	if err := exhaustive.Analyzer.Flags.Set("d", "true"); err != nil {
 		fmt.Fprintln(os.Stderr, "analyzers:", err)
 		os.Exit(1)
--- a/tools/lint/config.go
+++ b/tools/lint/config.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the part of the configuration file that is this command's; the rest is revive's.
+// Config is the part of the configuration file that this command reads. Revive reads the rest.
 type Config struct {
 	Exceptions []Exception `toml:"exceptions"`
 	// Rules are the enabled rules of revive, by name.
@@ -17,8 +17,8 @@
 	path string
 }
 
-// An Exception names packages that do not keep a rule yet. An exception without findings is an error,
-// so that the list of exceptions shrinks with each package that is mended.
+// An Exception exempts packages from a rule. An exception without findings is reported, so that the list of exceptions
+// shrinks with each package that is fixed.
 type Exception struct {
 	Rule     string   `toml:"rule"`
 	Reason   string   `toml:"reason"`
@@ -38,8 +38,8 @@
 	return config, nil
 }
 
-// apply returns the findings that no exception covers, and a finding for each package that an exception
-// names without need.
+// apply returns the findings that no exception covers, and a finding for each package that an exception lists
+// unnecessarily.
 func (c *Config) apply(findings []Finding) []Finding {
 	remaining := slices.DeleteFunc(slices.Clone(findings), func(f Finding) bool {
 		return slices.ContainsFunc(c.Exceptions, func(e Exception) bool { return e.covers(f) })
@@ -50,7 +50,7 @@
 				remaining = append(remaining, Finding{
 					File:    filepath.ToSlash(c.path),
 					Rule:    "unused-exception",
-					Message: fmt.Sprintf("%s keeps the rule %s: remove it from the exceptions", pkg, exception.Rule),
+					Message: fmt.Sprintf("%s does not violate rule %s: remove it from the exceptions", pkg, exception.Rule),
 				})
 			}
 		}
--- a/tools/lint/finding.go
+++ b/tools/lint/finding.go
@@ -17,7 +17,7 @@
 	Message string
 }
 
-// String formats the finding as compilers do, so that editors find the place.
+// String formats the finding like a compiler message, so that editors can jump to its position.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s:%d: %s (%s)", f.File, f.Line, f.Message, f.Rule)
 }
@@ -28,8 +28,8 @@
 // IsInTest reports whether the finding is in a test file.
 func (f Finding) IsInTest() bool { return strings.HasSuffix(f.File, "_test.go") }
 
-// sortFindings sorts findings by place and removes duplicates: go vet reports a file of a package
-// again with the package's tests.
+// sortFindings sorts findings by position and removes duplicates: go vet reports a package's files a second time
+// together with the package's tests.
 func sortFindings(findings []Finding) []Finding {
 	slices.SortFunc(findings, func(a, b Finding) int {
 		return cmp.Or(
--- a/tools/lint/lint_test.go
+++ b/tools/lint/lint_test.go
@@ -13,11 +13,11 @@
 
 const configPath = "../lint.toml"
 
-// A seededFile is one file of a module, and the rule that it breaks.
+// A seededFile is a file of the test module that violates a rule.
 type seededFile struct {
 	rule string
-	name string // by default the rule's name with .go
-	body string // follows a package clause with a comment, unless it has a clause of its own
+	name string // by default a directory and a file named after the rule
+	body string // is placed after a documented package clause, unless it has its own package clause
 }
 
 var seededFiles = []seededFile{
@@ -83,7 +83,7 @@
 	{rule: "var-declaration", body: "var x int = 0"},
 	{rule: "var-naming", body: "var some_name = 1"},
 
-	// Test files keep the rules of errorlint and staticcheck, but not revive's.
+	// The rules of errorlint and staticcheck apply to test files, those of revive do not.
 	{rule: "errorlint", name: "intest/x_test.go", body: `import "io"; func isEnd(err error) bool { return err == io.EOF }`},
 	{rule: "U1000", name: "intest/y_test.go", body: "func unused(n int) {}"},
 }
@@ -103,10 +103,10 @@
 	if strings.HasPrefix(f.body, "package ") {
 		return f.body
 	}
-	return "// Package p breaks a rule.\npackage p\n\n" + f.body + "\n"
+	return "// Package p violates a rule.\npackage p\n\n" + f.body + "\n"
 }
 
-// Each rule is reported where a file breaks it, and each rule of the configuration has such a file.
+// Each seeded violation is reported, and each rule of the configuration has a seeded file.
 func TestLintReportsViolationOfEachRule(t *testing.T) {
 	t.Parallel()
 	config, err := readConfig(configPath)
@@ -130,22 +130,22 @@
 	}
 	for rule := range config.Rules {
 		if !rulesWithFile[rule] {
-			t.Errorf("rule %s is enabled, but no file breaks it", rule)
+			t.Errorf("rule %s is enabled, but no seeded file violates it", rule)
 		}
 	}
 	for _, f := range findings {
 		if _, isRevive := config.Rules[f.Rule]; isRevive && f.IsInTest() {
-			t.Errorf("%v: this rule does not hold for tests", f)
+			t.Errorf("%v: this rule does not apply to tests", f)
 		}
 	}
 }
 
-// A linter that fails without a finding is an error of the run.
+// A linter that exits with an error status but has no findings makes the run fail.
 func TestLintFailsWithoutFindings(t *testing.T) {
 	t.Parallel()
 	failing := linter{command: []string{"false"}, parse: parseGofmt}
 	if _, err := failing.run(context.Background(), t.TempDir()); err == nil {
-		t.Error("a linter that failed without findings is no error")
+		t.Error("a linter that failed without findings returned no error")
 	}
 }
 
--- a/tools/lint/linters.go
+++ b/tools/lint/linters.go
@@ -19,13 +19,13 @@
 // A linter is a program that finds violations in a whole module.
 type linter struct {
 	command []string
-	// parse reads the findings from what the program printed; files may be absolute.
+	// parse extracts the findings from the program's output. Their file names may be absolute.
 	parse func(output []byte) ([]Finding, error)
-	// skipsTests says that the linter's rules do not hold for test files.
+	// skipsTests is true if the linter's rules do not apply to test files.
 	skipsTests bool
 }
 
-// linters returns the project's linters; programs is the directory of those that are no part of Go.
+// linters returns the project's linters. programs is the directory of those that do not ship with Go.
 func linters(programs, configPath string) []linter {
 	analyzers := filepath.Join(programs, "analyzers")
 	staticcheck := filepath.Join(programs, "staticcheck")
@@ -48,7 +48,7 @@
 	}
 }
 
-// lintModules runs all linters over the modules at roots and returns their findings, sorted by place.
+// lintModules runs all linters over the modules at roots and returns their findings, sorted by position.
 func lintModules(ctx context.Context, roots []string, programs, configPath string) ([]Finding, error) {
 	absolutePrograms, err := filepath.Abs(programs)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return sortFindings(findings), nil
 }
 
-// runLinters runs linters at the same time over the module at root.
+// runLinters runs linters concurrently over the module at root.
 func runLinters(ctx context.Context, root string, linters []linter) ([]Finding, error) {
 	results := make([][]Finding, len(linters))
 	group, ctx := errgroup.WithContext(ctx)
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w\n%s", strings.Join(l.command, " "), err, stderr.Bytes())
 	}
-	// Linters end with an error status for findings too; without findings it is a failure.
+	// Linters also exit with an error status if there are findings; without findings the linter itself failed.
 	if runErr != nil && len(findings) == 0 {
 		return nil, fmt.Errorf("%s: %w\n%s", strings.Join(l.command, " "), runErr, stderr.Bytes())
 	}
@@ -114,8 +114,8 @@
 	return kept, nil
 }
 
-// relativeTo turns a file that a linter named, absolute or relative to root, into one relative to the working
-// directory.
+// relativeTo converts a file name from a linter, which is absolute or relative to root, to one relative to the
+// working directory.
 func relativeTo(root, file string) (string, error) {
 	if !filepath.IsAbs(file) {
 		return filepath.ToSlash(filepath.Join(root, file)), nil
@@ -128,7 +128,7 @@
 	return filepath.ToSlash(filepath.Join(root, relative)), err
 }
 
-// parseGofmt reads a list of files.
+// parseGofmt parses the list of unformatted files that gofmt -l prints, one per line.
 func parseGofmt(output []byte) ([]Finding, error) {
 	var findings []Finding
 	for file := range strings.Lines(string(output)) {
@@ -142,7 +142,7 @@
 	return findings, nil
 }
 
-// parseVet reads one JSON object a package: package path, then analyzer, then a list of diagnostics.
+// parseVet parses a stream of JSON objects that map package paths to analyzers and these to lists of diagnostics.
 func parseVet(output []byte) ([]Finding, error) {
 	type diagnostic struct {
 		Position string `json:"posn"`
@@ -167,7 +167,7 @@
 	}
 }
 
-// splitPosition splits "file:line:column".
+// splitPosition splits "file:line:column". It returns line 0 if the position has another form.
 func splitPosition(position string) (file string, line int) {
 	parts := strings.Split(position, ":")
 	if len(parts) < 3 {
@@ -180,7 +180,7 @@
 	return strings.Join(parts[:len(parts)-2], ":"), line
 }
 
-// parseStaticcheck reads one JSON object a finding.
+// parseStaticcheck parses a stream of JSON objects, one per finding.
 func parseStaticcheck(output []byte) ([]Finding, error) {
 	var findings []Finding
 	for decoder := json.NewDecoder(bytes.NewReader(output)); ; {
@@ -206,7 +206,7 @@
 	}
 }
 
-// parseRevive reads a JSON array of failures.
+// parseRevive parses a JSON array of failures.
 func parseRevive(output []byte) ([]Finding, error) {
 	if len(bytes.TrimSpace(output)) == 0 {
 		return nil, nil
--- a/tools/lint/main.go
+++ b/tools/lint/main.go
@@ -1,9 +1,9 @@
 // Command lint runs the project's linters over Go modules, named by their directories (by default the working
-// directory), and prints each finding by file and line. It ends with status 1 if there is a finding, and with 2
-// if a linter did not run.
+// directory), and prints each finding by file and line. It exits with status 1 if there is a finding, and with 2
+// if a linter failed to run.
 //
-// The other linters are read from the directory of the command's own executable file. Their rules, and the
-// packages that do not keep a rule yet, are in one configuration file.
+// The programs of the linters that do not ship with Go are in the directory of the command's own executable. Rules, and
+// packages that are exempt from a rule, are in one configuration file.
 package main
 
 import (
@@ -26,7 +26,7 @@
 
 func main() {
 	configPath := flag.String("config", "tools/lint.toml", "configuration file")
-	listPackages := flag.Bool("packages", false, "print for each rule the packages that break it, exceptions or not")
+	listPackages := flag.Bool("packages", false, "print for each rule the packages that violate it, including exempt ones")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -67,7 +67,7 @@
 	os.Exit(statusFailed)
 }
 
-// printPackages prints one line a rule: its name, and the packages that break it.
+// printPackages prints one line per rule: its name and the packages that violate it.
 func printPackages(w io.Writer, findings []Finding) {
 	packagesByRule := map[string][]string{}
 	for _, f := range findings {
