--- a/cmd/olivectl/instances.go
+++ b/cmd/olivectl/instances.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/console"
 )
 
-// instanceTermination returns the name by which an agent's commands address an instance.
+// instanceTermination returns the termination that identifies an instance in commands to its agent.
 func instanceTermination(name string) string { return "instance/" + name }
 
 func newListCommand() *cobra.Command {
--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -44,8 +44,8 @@
 	c.Flags().StringVar(&f.programs, "bin", "", "sockets: directory of the programs (default: that of this one)")
 	c.Flags().StringVar(&f.dir, "dir", "",
 		"sockets: directory for schedules, records and results (default: a temporary one)")
-	c.Flags().StringVar(&f.schedule, "schedule", "", "sockets: inject the faults of this file instead of generated ones")
-	c.Flags().StringVar(&f.page, "page", "", "sockets: HTML file to write, with the faults and the calls of each zone")
+	c.Flags().StringVar(&f.schedule, "schedule", "", "sockets: inject the faults of this file, not generated ones")
+	c.Flags().StringVar(&f.page, "page", "", "sockets: HTML file to write, with the faults and calls of each zone")
 	c.Flags().IntVar(&f.faults, "faults", 8, "sockets: number of faults to generate for each day")
 	c.Flags().DurationVar(&f.length, "for", 20*time.Second, "sockets: how long callers send calls")
 }
--- a/cmd/olivesim/compare_test.go
+++ b/cmd/olivesim/compare_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// The decision module of a commit with another module path is rejected with an error that states both paths.
+// The decision module of a commit with another module path is rejected with an error that names the commit and
+// both paths.
 func TestCompareModuleOfOtherModulePath(t *testing.T) {
 	t.Parallel()
 	repository, base := newRenamedRepository(t)
--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -11,7 +11,7 @@
 	"olivedale/internal/sim/sabourin"
 )
 
-// Parameters of the curves. The last point is at maxOfferedLoad.
+// Parameters of the curves. Offered loads range from offeredLoadStep up to and including maxOfferedLoad.
 const (
 	offeredLoadStep  = 0.1
 	maxOfferedLoad   = 2.5
@@ -23,8 +23,8 @@
 var rejectionCosts = []float64{0, 0.3, 0.5}
 
 const curveDescription = "Sabourin's overload control by call counting, in front of the emulated exchange (solid) " +
-	"and by his theory (dashed), for rejected calls that cost 0%, 30% and 50% of an accepted one. Thresholds of 0.8 and " +
-	"0.9, periods of 100 ms and a window of 3 s as in the paper. The mix of calls is this project's choice: half " +
+	"and by his theory (dashed), for rejected calls that cost 0%, 30% and 50% of an accepted one. Thresholds of 0.8 " +
+	"and 0.9, periods of 100 ms and a window of 3 s as in the paper. The mix of calls is this project's choice: half " +
 	"outgoing, four in ten incoming and one in ten urgent."
 
 func curveCommand() *cobra.Command {
--- a/tools/lint/config.go
+++ b/tools/lint/config.go
@@ -50,7 +50,7 @@
 				remaining = append(remaining, Finding{
 					File:    filepath.ToSlash(c.path),
 					Rule:    "unused-exception",
-					Message: fmt.Sprintf("%s does not violate rule %s: remove it from the exceptions", pkg, exception.Rule),
+					Message: fmt.Sprintf("%s does not violate %s: remove it from the exceptions", pkg, exception.Rule),
 				})
 			}
 		}
--- a/tools/lint/main.go
+++ b/tools/lint/main.go
@@ -26,7 +26,7 @@
 
 func main() {
 	configPath := flag.String("config", "tools/lint.toml", "configuration file")
-	listPackages := flag.Bool("packages", false, "print for each rule the packages that violate it, including exempt ones")
+	listPackages := flag.Bool("packages", false, "print the packages that violate each rule, also exempt ones")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
