--- a/internal/incident/clock.go
+++ b/internal/incident/clock.go
@@ -19,9 +19,9 @@
 type Offset struct {
 	Known    bool
 	Min, Max time.Duration
-	At       Time // by the instance's clock, when the interval was known best
+	At       Time // time by the instance's clock to which Min and Max refer
 	Peer     string
-	Steps    int // exchanges that contradict all before them: one of the clocks was set
+	Steps    int // exchanges that are inconsistent with all earlier ones: one of the clocks was set
 }
 
 // addExchange adds the four time stamps of an exchange, named as in RFC 5905, section 8: the peer sent at T1, the
@@ -30,7 +30,7 @@
 func (o *Offset) addExchange(peer string, t [4]int64) {
 	lo, hi, at := time.Duration(t[2]-t[3]), time.Duration(t[1]-t[0]), Time(t[2])
 	if lo > hi || t[0] > t[3] {
-		return // impossible time stamps say nothing
+		return // the time stamps contradict each other
 	}
 	if !o.Known || o.Peer != peer {
 		*o = Offset{Known: true, Min: lo, Max: hi, At: at, Peer: peer, Steps: o.Steps}
@@ -44,21 +44,21 @@
 	o.Min, o.Max, o.At = max(lo, old.Min), min(hi, old.Max), at
 }
 
-// at is the offset at another time. The interval widens with the distance.
+// at returns the offset at another time. The interval widens by maxDriftRate with the time between the two.
 func (o Offset) at(t Time) Offset {
 	if !o.Known {
 		return o
 	}
-	far := t - o.At
-	if far < 0 {
-		far = -far
+	elapsed := t - o.At
+	if elapsed < 0 {
+		elapsed = -elapsed
 	}
-	wide := time.Duration(math.Ceil(maxDriftRate * float64(far)))
-	o.Min, o.Max = o.Min-wide, o.Max+wide
+	drift := time.Duration(math.Ceil(maxDriftRate * float64(elapsed)))
+	o.Min, o.Max = o.Min-drift, o.Max+drift
 	return o
 }
 
-// Mid is the middle of the interval, 0 if the offset is unknown.
+// Mid returns the middle of the interval, 0 if the offset is unknown.
 func (o Offset) Mid() time.Duration {
 	if !o.Known {
 		return 0
--- a/internal/incident/moment.go
+++ b/internal/incident/moment.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A Moment is a time by the reference's clock, as far as it is known.
+// A Moment is a time by the reference's clock, as an interval that certainly contains it.
 type Moment struct {
 	Earliest, Latest Time
 	Known            bool   // the times are by the reference's clock; otherwise by the instance's own
 	Peer             string // the reference
-	Source           int    // the start that saw it
-	Own              Time   // by its own clock
+	Source           int    // number of the start that observed it
+	Own              Time   // by the clock of that start
 }
 
-// moment places an event that an instance saw at own by its clock.
+// moment converts a time by the instance's own clock into one by the reference's clock.
 func (o Offset) moment(source int, own Time) Moment {
 	m := Moment{Earliest: own, Latest: own, Known: o.Known, Peer: o.Peer, Source: source, Own: own}
 	if o.Known {
@@ -24,13 +24,13 @@
 	return m
 }
 
-// Mid is the middle of the interval.
+// Mid returns the middle of the interval.
 func (m Moment) Mid() Time { return m.Earliest + (m.Latest-m.Earliest)/2 }
 
 // An Order is the order of two moments, as far as it is known.
 type Order int
 
-// Orders.
+// The orders.
 const (
 	OrderUnknown Order = iota
 	OrderBefore
@@ -65,7 +65,8 @@
 	return OrderUnknown
 }
 
-// Delay is how long after from to was, as an interval; known is false if their clocks were not compared.
+// Delay returns the time that passed between two moments as an interval; known is false if their clocks were not
+// compared with the same reference.
 func Delay(from, to Moment) (lo, hi time.Duration, known bool) {
 	if from.Source == to.Source {
 		return to.Own - from.Own, to.Own - from.Own, true
@@ -76,5 +77,5 @@
 	return to.Earliest - from.Latest, to.Latest - from.Earliest, true
 }
 
-// compareMid sorts moments by the middle of what is known.
+// compareMid orders moments by the middles of their intervals.
 func compareMid(a, b Moment) int { return cmp.Compare(a.Mid(), b.Mid()) }
