--- a/internal/incident/counts.go
+++ b/internal/incident/counts.go
@@ -9,11 +9,12 @@
 )
 
 // Counts are the counts of a group of calls: of all, or of a class, a server, an instance or a window. Each is a plain
-// count of records, so that it can be checked by counting. The JSON keys are an interface and keep their first names.
+// count of records, so that it can be verified by counting. The JSON keys are a public interface and keep the older
+// terms.
 type Counts struct {
 	Offered  uint64                      `json:"offered"`  // calls offered
 	Outcomes [record.OutcomeCount]uint64 `json:"-"`        // final answers
-	Late     uint64                      `json:"late"`     // established later than their latency objective
+	Late     uint64                      `json:"late"`     // established after more than their latency objective
 	Dropped  uint64                      `json:"cut"`      // established and ended by a fault
 	Released uint64                      `json:"released"` // established and ended, the dropped ones included
 	Attempts uint64                      `json:"tries"`    // attempts at servers
@@ -33,19 +34,19 @@
 	c.Retries += o.Retries
 }
 
-// Outcome is the number of calls with an outcome.
+// Outcome returns the number of calls with an outcome.
 func (c *Counts) Outcome(o record.Outcome) uint64 { return c.Outcomes[o] }
 
-// Established is the number of calls that were established.
+// Established returns the number of calls that were established.
 func (c *Counts) Established() uint64 { return c.Outcomes[record.OutcomeEstablished] }
 
-// Rejected is the number of calls that were rejected, by the decision module, past a limit or at shutdown.
+// Rejected returns the number of calls that were rejected by the decision module, over a limit or at shutdown.
 func (c *Counts) Rejected() uint64 {
 	return c.Outcomes[record.OutcomeRejected] + c.Outcomes[record.OutcomeOverLimit] +
 		c.Outcomes[record.OutcomeShuttingDown]
 }
 
-// Answered is the number of calls with any outcome.
+// Answered returns the number of calls with any outcome.
 func (c *Counts) Answered() (n uint64) {
 	for _, v := range c.Outcomes {
 		n += v
@@ -64,7 +65,7 @@
 	histogramUnit     = 10 * time.Microsecond
 	minHistogramValue = 1
 	maxHistogramValue = int64(2 * time.Minute / histogramUnit)
-	histogramDigits   = 2 // significant decimal digits; a histogram takes some 16 KiB
+	histogramDigits   = 2 // significant decimal digits; a histogram takes about 16 KiB
 )
 
 func (t *Tally) recordSetupTime(took time.Duration) {
@@ -86,7 +87,7 @@
 	t.setupTimes.Merge(o.setupTimes)
 }
 
-// Percentile is the set-up time that p percent of the established calls did not exceed, to about one percent; 0 if
+// Percentile returns the set-up time that p percent of the established calls did not exceed, to about one percent; 0 if
 // none was established.
 func (t *Tally) Percentile(p float64) time.Duration {
 	if t.setupTimes == nil {
@@ -95,7 +96,7 @@
 	return time.Duration(t.setupTimes.ValueAtQuantile(p)) * histogramUnit
 }
 
-// boundedTallies are Tallies by name. Names past the bound share one, under Other.
+// boundedTallies holds up to maxNames Tallies by name. Further names share one Tally under Other.
 type boundedTallies struct {
 	maxNames int
 	byName   map[string]*Tally
@@ -124,8 +125,8 @@
 	}
 }
 
-// named returns the tallies in the order of their names.
-func (t *boundedTallies) named() (all []NamedTally) {
+// sorted returns the tallies in the order of their names.
+func (t *boundedTallies) sorted() (all []NamedTally) {
 	for _, name := range sortedKeys(t.byName) {
 		all = append(all, NamedTally{name, t.byName[name]})
 	}
--- a/internal/incident/opencalls.go
+++ b/internal/incident/opencalls.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// openCalls are the calls whose final answer is awaited.
+// openCalls holds the calls that have no final answer yet.
 type openCalls struct {
 	byID  map[string]openCall
-	order []string // in the order in which they were offered; it may name calls that are answered
+	order []string // ids in the order of the offers; some may be of calls that are answered meanwhile
 }
 
-// An openCall is a call whose final answer is awaited.
+// An openCall is a call that has no final answer yet.
 type openCall struct {
 	class     string
 	offeredAt Time
 	seq       uint64 // of its record
 }
 
-// add adds a call; a second one under the same id takes the place of the first.
+// add adds a call; a second one with the same id replaces the first.
 func (o *openCalls) add(id string, c openCall) {
 	if _, ok := o.byID[id]; !ok {
 		o.order = append(o.order, id)
@@ -26,8 +26,8 @@
 	o.byID[id] = c
 }
 
-// giveUpOpenCalls ends the wait for the answers of all open calls.
-func (p *Part) giveUpOpenCalls(reason string) {
+// closeOpenCalls counts all open calls as unanswered.
+func (p *Part) closeOpenCalls(reason string) {
 	for _, id := range p.open.order {
 		if c, ok := p.open.byID[id]; ok {
 			p.addUnanswered(id, c, reason)
@@ -37,7 +37,7 @@
 	p.open.order = p.open.order[:0]
 }
 
-// expireOpenCalls ends the wait for calls that are open for longer than any call may be, and for the oldest ones if
+// expireOpenCalls counts calls as unanswered that are open for longer than any deadline allows, and the oldest ones if
 // there are too many.
 func (p *Part) expireOpenCalls(now Time) {
 	timeout := defaultAnswerTimeout
@@ -59,7 +59,8 @@
 	}
 }
 
-// addUnanswered counts a call without a final answer. A gap since its set-up explains it, whatever the reason given.
+// addUnanswered counts a call without a final answer. If records are lost since its set-up, the reason is ReasonGap
+// instead of the given one.
 func (p *Part) addUnanswered(id string, c openCall, reason string) {
 	if p.lastGapEnd >= c.offeredAt {
 		reason = ReasonGap
--- a/internal/incident/part.go
+++ b/internal/incident/part.go
@@ -12,31 +12,31 @@
 
 const (
 	initialBinWidth      = time.Second
-	initialSlowStart     = time.Second      // until the records tell the setting
-	drainGrace           = 2 * time.Second  // from the announcement of a drain to the last attempt that is permitted
-	defaultAnswerTimeout = 60 * time.Second // for a final answer, until the records tell a deadline
+	initialSlowStart     = time.Second      // until a configuration record gives it
+	drainGrace           = 2 * time.Second  // time after the announcement of a drain in which attempts are permitted
+	defaultAnswerTimeout = 60 * time.Second // for a final answer, until a configuration record gives a deadline
 )
 
-// Other is the name under which names past a bound are counted.
+// Other is the name under which names beyond a bound are counted together.
 const Other = "(others)"
 
-// A Part is the account of one store. Its zero value is not ready; use NewPart. Call Take for each record in order,
-// then Close. Its memory is bounded whatever the records contain.
+// A Part is the analysis of one store. Create it with NewPart, call Take for each record in order, then Close. Its
+// memory is bounded whatever the records contain.
 type Part struct {
 	Instance string
 	Store    uint64
 
 	Records        uint64
-	Lost           uint64 // records that are certainly lost
+	Lost           uint64 // records that are known to be lost
 	UnknownLosses  uint64 // losses of unknown size
 	OmittedEntries uint64 // list entries past a bound
 	MergedStarts   uint64 // starts past the bound, merged into the last
-	Unfinished     bool   // the last start has no orderly end: it still runs, or was killed
+	Unfinished     bool   // the last start has no end record: it is still running, or was killed
 
 	Total               Tally
 	NoAnswer            map[string]uint64 // set-ups without a final answer, by reason
 	AnswersWithoutSetup uint64            // answers to set-ups that are not in the records
-	Limits              map[string]uint64 // limits that were met, by name
+	Limits              map[string]uint64 // limits that were reached, by name
 	AttemptEnds         map[string]uint64 // attempts, by how they ended
 	Reasons             map[string]uint64 // rejections and failures, by the decision module's reason
 	Tallies             map[string]uint64 // the call manager's own counters, summed over starts
@@ -63,7 +63,7 @@
 	lastCounters map[string]uint64 // the call manager's counters in the current start
 }
 
-// recordedSettings are the settings that the records tell.
+// recordedSettings are the settings that configuration records give.
 type recordedSettings struct {
 	objectives      map[string]time.Duration // latency objective by class
 	longestDeadline time.Duration
@@ -77,7 +77,7 @@
 	overloads  map[string]int
 }
 
-// NewPart returns the empty account of a store.
+// NewPart returns the analysis of a store without records.
 func NewPart() *Part {
 	return &Part{
 		NoAnswer:    make(map[string]uint64),
@@ -117,7 +117,7 @@
 		return
 	}
 	if r.Kind != record.KindGap {
-		p.currentBin(r.At) // the instance was alive then, whether it had calls or not
+		p.currentBin(r.At) // the instance was running then, even if it had no calls
 	}
 	p.add(r, Ref{p.Instance, fmt.Sprintf("%016x", h.RunID), r.Seq})
 	p.expireOpenCalls(r.At)
@@ -127,11 +127,11 @@
 func (p *Part) add(r *record.Record, ref Ref) {
 	switch r.Kind {
 	case record.KindGap:
-		p.Records-- // it stands for others
+		p.Records-- // a gap only stands for the records that are lost
 		p.addGap(Gap{From: r.From, To: r.Seq, Cause: record.GapCause(r.Code).String(), Since: r.Since, Until: r.At})
 		p.Lost += r.Lost()
 	case record.KindStart:
-		p.noteStart(r)
+		p.checkStart(r)
 	case record.KindStopping:
 		p.currentStart().Stopping = r.At
 	case record.KindEnd:
@@ -164,7 +164,7 @@
 	}
 }
 
-// Close ends the account; the Part is ready for Combine.
+// Close ends the analysis, after which the Part may be passed to Combine or Fleet.Add.
 func (p *Part) Close() {
 	if len(p.Starts) == 0 {
 		return
@@ -175,10 +175,11 @@
 	if clean {
 		reason = ReasonUnknown
 	}
-	p.giveUpOpenCalls(reason)
+	p.closeOpenCalls(reason)
 }
 
-// isCounted reports whether a record counts. Outside of From and To only records of state do.
+// isCounted reports whether a record counts. Outside of From and To only records that are not about single calls or
+// counts do, since the state of instances and servers depends on them.
 func (p *Part) isCounted(r *record.Record) bool {
 	if (p.From == 0 || r.At >= p.From) && (p.To == 0 || r.At <= p.To) {
 		return true
@@ -192,7 +193,7 @@
 	}
 }
 
-// addConfig notes the settings that the analysis needs.
+// addConfig keeps the settings that the analysis needs.
 func (p *Part) addConfig(r *record.Record) {
 	s := &p.settings
 	switch {
@@ -204,7 +205,7 @@
 	}
 }
 
-// addClockReading adds a comparison with a peer's clock, or with the system's.
+// addClockReading adds a comparison with the clock of a peer, or with that of the system if r.By is empty.
 func (p *Part) addClockReading(r *record.Record) {
 	s := p.currentStart()
 	if r.By != "" {
@@ -218,7 +219,7 @@
 	s.wallClockOffset, s.hasWallClock = offset, true
 }
 
-// addCounter sums the call manager's counters over starts; within a start they only grow.
+// addCounter sums the call manager's counters over all starts; within a start they never decrease.
 func (p *Part) addCounter(r *record.Record) {
 	old := p.lastCounters[r.By]
 	p.lastCounters[r.By] = r.Count
@@ -227,8 +228,8 @@
 
 // addDecision counts the reason of a decision other than to send or wait.
 func (p *Part) addDecision(r *record.Record) {
-	move := record.Decision(r.Code)
-	if r.Text != "" && move != record.DecisionSend && move != record.DecisionNone {
+	decision := record.Decision(r.Code)
+	if r.Text != "" && decision != record.DecisionSend && decision != record.DecisionNone {
 		addBounded(p.Reasons, r.Text, 1)
 	}
 }
@@ -245,7 +246,7 @@
 		return
 	}
 	if i, ok := p.ongoing.drains[r.Server]; ok {
-		p.Drains[i].Phase = phase.String() // the drain began with its first announcement
+		p.Drains[i].Phase = phase.String() // its start remains the first announcement
 		return
 	}
 	if len(p.Drains) >= maxEvents {
@@ -291,7 +292,7 @@
 	}
 }
 
-// addBounded counts under a name; names past the bound are counted under Other.
+// addBounded adds to the count of a name; names beyond maxCounters are counted under Other.
 func addBounded(m map[string]uint64, name string, n uint64) {
 	if _, ok := m[name]; !ok && len(m) >= maxCounters {
 		name = Other
--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -12,11 +12,12 @@
 const (
 	maxWindows  = 512
 	maxFindings = 500
-	// maxClockDistance is how far an instance's clock may be from the median before it is taken for wrong.
+	// maxClockDistance is how far an instance's clock may be from the median before it is considered wrong.
 	maxClockDistance = 366 * 24 * time.Hour
 )
 
-// A Report is what many stores tell together. Its lists are bounded; OmittedEntries counts what was left out.
+// A Report is the combined analysis of several stores. Its lists are bounded; OmittedEntries counts the entries that
+// were left out.
 type Report struct {
 	From, To            Time   // of the records, by the reference clock as far as it is known
 	Reference           string // the peer that most clocks were compared with; "" if none was
@@ -48,7 +49,7 @@
 	*Tally
 }
 
-// An Instance is the account of one store.
+// An Instance is the analysis of one store.
 type Instance struct {
 	Name                string
 	Store               uint64
@@ -59,15 +60,15 @@
 	UnknownLosses       uint64
 	Incomplete          bool
 	Tallies             map[string]uint64
-	Live                bool  // no orderly end: it still runs, or was killed
-	Sources             []int // of its starts, as Moments name them
+	Live                bool  // no end record: it is still running, or was killed
+	Sources             []int // Moment.Source of each start
 	Unanswered          uint64
 	AnswersWithoutSetup uint64
 	Reasons             map[string]uint64
 	OverloadPeriods     int
 }
 
-// A Run is one start of an instance, placed on the time line.
+// A Run is a Start placed on the time line.
 type Run struct {
 	Boot     string
 	Program  string
@@ -106,16 +107,16 @@
 	Moment Moment
 }
 
-// A Fleet collects parts. It takes what is only needed in sum off a part as soon as the part is added, so that of
-// hundreds of stores only those that are being read hold all of their data. The zero value is ready; it is for one
-// goroutine at a time.
+// A Fleet collects parts. It merges data that is only needed in sum as soon as a part is added, and frees it in the
+// part, so that of hundreds of stores only those being read hold all of their data. The zero value is ready to use. A
+// Fleet is not safe for concurrent use.
 type Fleet struct {
 	parts            []*Part
 	total            Tally
 	classes, servers boundedTallies
 }
 
-// Add adds a part that is closed. The part must not be used any more.
+// Add adds a closed part, which must not be used afterwards.
 func (f *Fleet) Add(p *Part) {
 	if f.classes.maxNames == 0 {
 		f.classes.maxNames, f.servers.maxNames = maxClasses, maxServers
@@ -127,7 +128,7 @@
 	f.parts = append(f.parts, p)
 }
 
-// Combine makes the report of parts that are closed. They must not be used any more.
+// Combine returns the report of closed parts, which must not be used afterwards.
 func Combine(parts []*Part) *Report {
 	var f Fleet
 	for _, p := range parts {
@@ -136,7 +137,7 @@
 	return f.Report()
 }
 
-// Report makes the report of all parts. The Fleet must not be used any more.
+// Report returns the report of all parts. The Fleet must not be used afterwards.
 func (f *Fleet) Report() *Report {
 	parts := f.parts
 	slices.SortStableFunc(parts, func(a, b *Part) int {
@@ -144,8 +145,8 @@
 	})
 	r := &Report{
 		Total:       f.total,
-		Classes:     f.classes.named(),
-		Servers:     f.servers.named(),
+		Classes:     f.classes.sorted(),
+		Servers:     f.servers.sorted(),
 		Width:       initialBinWidth,
 		NoAnswer:    make(map[string]uint64),
 		Limits:      make(map[string]uint64),
@@ -159,12 +160,12 @@
 	}
 	r.Reference = r.mostUsedReference()
 	r.placeLists(parts)
-	r.layWindows(parts)
+	r.buildWindows(parts)
 	r.findAll(parts)
 	return r
 }
 
-// addInstance adds the account of a store. Its starts are numbered from source on.
+// addInstance adds the analysis of a store. Its starts are numbered from source on.
 func (r *Report) addInstance(p *Part, source int) {
 	i := Instance{
 		Name:                p.Instance,
@@ -219,7 +220,7 @@
 	}
 }
 
-// mostUsedReference is the peer that most starts were compared with, the first by name of several.
+// mostUsedReference returns the peer that most starts were compared with; of several, the first by name.
 func (r *Report) mostUsedReference() (reference string) {
 	starts := make(map[string]int)
 	for _, i := range r.Instances {
@@ -237,7 +238,7 @@
 	return reference
 }
 
-// moment places something that a part saw by its own clock.
+// moment converts a time by the clock of a part's start into one by the reference's clock.
 func (r *Report) moment(part, start int, own Time) Moment {
 	i := &r.Instances[part]
 	return i.Starts[start].Offset.moment(i.Sources[start], own)
--- a/internal/incident/starts.go
+++ b/internal/incident/starts.go
@@ -2,14 +2,14 @@
 
 import "olivedale/internal/record"
 
-// currentStart is the start that the latest record belongs to.
+// currentStart returns the start that the latest record belongs to.
 func (p *Part) currentStart() *Start { return &p.Starts[len(p.Starts)-1] }
 
-// beginStart opens the account of another start.
+// beginStart begins another start, or merges it into the last one if there are too many.
 func (p *Part) beginStart(h *record.Header, r *record.Record) {
 	if n := len(p.Starts); n > 0 {
 		p.endStart(n - 1)
-		if n >= maxStarts { // a program that crashes in a loop
+		if n >= maxStarts { // a program in a crash loop
 			s := p.currentStart()
 			s.Boot = h.RunID
 			s.Clean = false
@@ -23,23 +23,23 @@
 	p.Starts = append(p.Starts, Start{Boot: h.RunID, Program: h.Program, From: r.At, To: r.At})
 }
 
-// endStart ends the account of a start that another follows: it never answers what it has not answered.
+// endStart ends a start that is followed by another: its open calls will not be answered any more.
 func (p *Part) endStart(n int) {
 	s := &p.Starts[n]
 	reason := ReasonKilled
 	if s.Clean {
 		reason = ReasonUnknown
 	}
-	p.giveUpOpenCalls(reason)
+	p.closeOpenCalls(reason)
 	p.closeOngoing(s.To)
 	if !s.Clean {
-		// Records that had not reached the disk are lost, and their number is not known.
+		// Records that had not been written to disk are lost, and their number is not known.
 		p.UnknownLosses++
 		p.addGap(Gap{Cause: "killed", Since: s.To, Until: s.To})
 	}
 }
 
-// closeOngoing ends what a start assumed of servers.
+// closeOngoing ends the overload periods, drains and cold starts of a start, and its counters.
 func (p *Part) closeOngoing(at Time) {
 	for _, i := range p.ongoing.overloads {
 		if p.OverloadPeriods[i].To == 0 {
@@ -52,10 +52,11 @@
 	clear(p.lastCounters)
 }
 
-// noteStart takes the record that a program writes when it starts.
-func (p *Part) noteStart(r *record.Record) {
+// checkStart counts a loss if the first start in the records follows one that is missing and was not shut down in
+// order.
+func (p *Part) checkStart(r *record.Record) {
 	if len(p.Starts) < 2 && !r.Flag {
-		// The start before this one is not in the records, and it did not end in good order.
+		// The flag is not set: the start before this one had no orderly shutdown, and it is not in the records.
 		p.UnknownLosses++
 	}
 }
--- a/internal/incident/timeline.go
+++ b/internal/incident/timeline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A bin is what happened in one interval of one start of an instance.
+// A bin holds the counts of one interval of one start of an instance.
 type bin struct {
 	Counts
 	setupTimeSum time.Duration // of established calls
@@ -23,7 +23,7 @@
 	bins  []bin
 }
 
-// get returns the bin of a number and makes it if need be; nil if the series would grow beyond maxLength.
+// get returns the bin with a number and creates it if necessary; nil if the series would grow beyond maxLength.
 func (s *series) get(n int64, maxLength int) *bin {
 	if len(s.bins) == 0 {
 		s.first, s.bins = n, append(s.bins, bin{})
@@ -65,7 +65,7 @@
 	return a / b
 }
 
-// A timeline is the width that the bins of all starts share, and their number.
+// A timeline holds the width that the bins of all starts share, and the number of bins.
 type timeline struct {
 	width time.Duration
 	bins  int
@@ -74,7 +74,7 @@
 // currentBin returns the bin of a time in the current start.
 func (p *Part) currentBin(at Time) *bin { return p.binOfStart(len(p.Starts)-1, at) }
 
-// binOfStart returns the bin of a time in a start. All bins become wider when there are too many.
+// binOfStart returns the bin of a time in a start. It widens all bins when there are too many.
 func (p *Part) binOfStart(start int, at Time) *bin {
 	for {
 		s := &p.Starts[start].series
@@ -98,7 +98,7 @@
 	}
 }
 
-// addGap marks the bins that a gap touches and lists it.
+// addGap adds a gap to the list and marks the bins that it overlaps.
 func (p *Part) addGap(g Gap) {
 	g.startIndex = len(p.Starts) - 1
 	p.lastGapEnd = g.Until
--- a/internal/incident/windows.go
+++ b/internal/incident/windows.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// layWindows lays the bins of all starts on one time line. A bin is moved by the middle of its start's clock offset
-// and stays in one piece: counts are never split, and their place is good to one width.
-func (r *Report) layWindows(parts []*Part) {
+// buildWindows merges the bins of all starts into the windows of one time line. A bin is moved as a whole by the middle
+// of its start's clock offset: counts are never split, and their position is accurate to one width.
+func (r *Report) buildWindows(parts []*Part) {
 	median, ok := r.medianStart()
 	if !ok {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// medianStart is the median time at which the starts began; ok is false if there are none.
+// medianStart returns the median time at which the starts began; ok is false if there are none.
 func (r *Report) medianStart() (median Time, ok bool) {
 	var all []Time
 	for _, i := range r.Instances {
@@ -58,7 +58,7 @@
 			s := &p.Starts[k]
 			from := s.Offset.moment(0, s.From).Mid()
 			if from-median > maxClockDistance || median-from > maxClockDistance {
-				r.Truncated = true // a clock that is years away must not stretch the line
+				r.Truncated = true // a clock that is years off must not stretch the time line
 				continue
 			}
 			if !r.placeStart(s, line, sources) {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// placeStart adds the bins of one start to a time line.
+// placeStart adds the bins of one start to a time line. It returns false if the line would become too long.
 func (r *Report) placeStart(s *Start, line *series, sources map[int64]int) bool {
 	for i := range s.series.bins {
 		own := Time(s.series.first+int64(i)) * r.Width
@@ -97,7 +97,7 @@
 	r.Windows = append(r.Windows, w)
 }
 
-// sumWithin sums the windows that touch an interval; incomplete reports whether records of one of them are lost.
+// sumWithin sums the windows that overlap an interval; incomplete reports whether records of one of them are lost.
 func (r *Report) sumWithin(from, to Time) (sum Counts, incomplete bool) {
 	for i := range r.Windows {
 		w := &r.Windows[i]
