--- a/internal/incident/finding.go
+++ b/internal/incident/finding.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kinds of findings. They are printed in reports and keep their words.
+// Kinds of findings. They are values in the JSON form of a report, so their wording does not change.
 const (
 	FoundOverload     = "server under pressure"
 	FoundRejections   = "calls turned away"
@@ -30,21 +30,21 @@
 	maxUnansweredRefs = 16
 )
 
-// A Finding is a part of the course of an incident, found by a rule.
+// A Finding is one event of an incident, detected by a rule.
 type Finding struct {
 	Kind       string
 	Server     string
 	Instance   string
 	From, To   Moment // To is From for an event without a duration
 	Ongoing    bool   // it was not over at the end of the records
-	IsFault    bool   // a rule is broken or service was lost; otherwise it only tells the course
+	IsFault    bool   // a rule is broken or service was lost; otherwise the finding is informational
 	Text       string
 	Noticed    []Notice
-	Refs       []Ref // records that it rests on
+	Refs       []Ref // records that it is based on
 	Incomplete bool  // records of that time are lost
 }
 
-// A Notice is when an instance noticed a finding.
+// A Notice says when one instance noticed the event of a finding.
 type Notice struct {
 	Instance           string
 	At                 Moment
@@ -55,14 +55,14 @@
 	MinRate            float64 // lowest rate limit, attempts a second
 }
 
-// addRef adds a record, if there is room.
+// addRef adds references to records unless the list is full.
 func (f *Finding) addRef(refs ...Ref) {
 	if len(f.Refs) < maxRefs {
 		f.Refs = append(f.Refs, refs...)
 	}
 }
 
-// findAll runs the rules.
+// findAll applies all rules and sorts the findings by time.
 func (r *Report) findAll(parts []*Part) {
 	r.findOverload(parts)
 	r.findSurges()
@@ -73,7 +73,7 @@
 	byTime := func(a, b Finding) int { return compareMid(a.From, b.From) }
 	slices.SortStableFunc(r.Findings, byTime)
 	if n := len(r.Findings) - maxFindings; n > 0 {
-		// Faults are kept before what only tells the course.
+		// Informational findings are dropped before faults.
 		slices.SortStableFunc(r.Findings, func(a, b Finding) int {
 			return cmp.Compare(faultRank(a), faultRank(b))
 		})
@@ -93,7 +93,7 @@
 
 func (r *Report) add(f Finding) { r.Findings = append(r.Findings, f) }
 
-// formatCount writes a count, which is a lower bound if records are lost.
+// formatCount formats a count, as a lower bound if records are lost.
 func formatCount(n uint64, incomplete bool) string {
 	if incomplete {
 		return fmt.Sprintf("at least %d", n)
--- a/internal/incident/findlosses.go
+++ b/internal/incident/findlosses.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reportedSkew is the difference of two clocks from which it is reported.
+// reportedSkew is the difference between two clocks, or the step of one, above which it is reported.
 const reportedSkew = 100 * time.Millisecond
 
 // findLosses finds instances that were killed, gaps, and set-ups without an answer.
@@ -81,7 +81,7 @@
 	r.add(f)
 }
 
-// findClockFaults finds clocks that were set, and clocks that certainly differ.
+// findClockFaults finds clocks that were set, and clocks that certainly differ by more than reportedSkew.
 func (r *Report) findClockFaults() {
 	for _, i := range r.Instances {
 		for _, s := range i.Starts {
@@ -105,7 +105,7 @@
 func (r *Report) findClockSteps(instance string, s Run) {
 	for _, step := range s.Steps {
 		if step.By > -reportedSkew && step.By < reportedSkew {
-			continue // the system's clock is disciplined
+			continue // an ordinary correction, as time synchronization makes it
 		}
 		at := s.Offset.moment(s.From.Source, step.At)
 		r.add(Finding{
--- a/internal/incident/findoverload.go
+++ b/internal/incident/findoverload.go
@@ -17,8 +17,8 @@
 	ref, endRef Ref
 }
 
-// findOverload finds when each server was overloaded: from the first instance that limited its rate to the last one
-// that lifted the limit.
+// findOverload finds when each server was overloaded: from the time at which the first instance limits its rate to the
+// time at which the last one lifts the limit.
 func (r *Report) findOverload(parts []*Part) {
 	byServer := r.placeOverload(parts)
 	for _, server := range sortedKeys(byServer) {
@@ -64,7 +64,7 @@
 	return byServer
 }
 
-// mergeOverload makes one finding of the first periods that follow each other closely, and returns how many those are.
+// mergeOverload returns one finding for the leading periods that are at most overloadMergeGap apart, and their number.
 func mergeOverload(server string, periods []placedOverload) (f Finding, n int) {
 	f = Finding{Kind: FoundOverload, Server: server, From: periods[0].At, To: periods[0].End}
 	for n < len(periods) && periods[n].At.Mid() <= f.To.Mid()+overloadMergeGap {
--- a/internal/incident/findservers.go
+++ b/internal/incident/findservers.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	drainMergeGap      = 10 * time.Second // announcements of one drain come within this
-	coldOverloadFactor = 1.5              // reported from this multiple of what a cold server may get
+	drainMergeGap      = 10 * time.Second // one drain is announced to all instances within this time
+	coldOverloadFactor = 1.5              // multiple of a cold server's allowed share above which it is reported
 	minColdSends       = 20
 )
 
 const nothingSent = "nothing was sent after the news"
 
-// findDrains finds, for each server that drained, the last attempt after the announcement, over all instances.
+// findDrains finds, for each server that was drained, the last attempt of any instance after the announcement.
 func (r *Report) findDrains(parts []*Part) {
 	byServer := make(map[string][]Finding)
 	for n, p := range parts {
@@ -39,7 +39,7 @@
 	}
 }
 
-// newDrain makes the finding of one instance's drain. It is a fault if something was sent too late.
+// newDrain returns the finding for a drain as one instance saw it. An attempt later than drainGrace makes it a fault.
 func (r *Report) newDrain(part int, instance string, d Drain) Finding {
 	f := Finding{
 		Kind:     FoundDrain,
@@ -61,7 +61,7 @@
 	return f
 }
 
-// mergeDrains makes one finding of the announcements of one drain to several instances, and returns how many those are.
+// mergeDrains returns one finding for the leading announcements, which belong to one drain, and their number.
 func mergeDrains(drains []Finding) (f Finding, n int) {
 	f = drains[0]
 	f.Instance = ""
@@ -92,7 +92,8 @@
 	return f, n
 }
 
-// A serverStart identifies one start of a server: its time is the endpoint list's, the same for all instances.
+// A serverStart identifies one start of a server. Its time comes from the endpoint list and is the same for all
+// instances.
 type serverStart struct {
 	server string
 	at     Time
@@ -104,8 +105,8 @@
 	sentByFifth [slowStartFifths]uint64
 }
 
-// findColdStarts finds cold starts, and compares what all instances sent with what the time allowed. The share that a
-// starting server can take grows linearly, so each fifth of the period is compared with the last one.
+// findColdStarts finds cold starts, and compares the attempts of all instances with what the slow-start period allows.
+// The load that a starting server can take grows linearly, so each fifth of the period is compared with the last one.
 func (r *Report) findColdStarts(parts []*Part) {
 	sums := make(map[serverStart]*coldStartSum)
 	var order []*coldStartSum
@@ -127,13 +128,13 @@
 		}
 	}
 	for _, sum := range order {
-		sum.judge()
+		sum.classify()
 		r.add(sum.Finding)
 	}
 }
 
-// judge words the finding and decides whether the server got more than it could take.
-func (s *coldStartSum) judge() {
+// classify sets the text of the finding, and its kind if the server got more attempts than it could take.
+func (s *coldStartSum) classify() {
 	total := uint64(0)
 	for _, sent := range s.sentByFifth {
 		total += sent
@@ -144,7 +145,7 @@
 	}
 	const last = slowStartFifths - 1
 	for i, sent := range s.sentByFifth[:last] {
-		// The middles of the fifths stand to each other as the shares that the server can take in them.
+		// With linear growth, the loads that two fifths allow are proportional to the middles of the fifths.
 		allowed := coldOverloadFactor * float64(s.sentByFifth[last]) * (float64(i) + 0.5) / (last + 0.5)
 		if float64(sent) > max(allowed, float64(minColdSends)/2) {
 			s.Kind = FoundColdOverload
--- a/internal/incident/findsurges.go
+++ b/internal/incident/findsurges.go
@@ -6,13 +6,13 @@
 	"olivedale/internal/record"
 )
 
-// A window belongs to a surge if so large a share of its calls, and at least so many, were rejected or dropped.
+// A window belongs to a surge if at least this share, and at least this number, of its calls were rejected or dropped.
 const (
 	surgeShare = 0.05
 	minSurge   = 5
 )
 
-// A surgeRule finds one kind of surges.
+// A surgeRule defines one kind of surge by the calls that it counts.
 type surgeRule struct {
 	kind  string
 	count func(*Counts) uint64
@@ -29,7 +29,7 @@
 	return n >= minSurge && float64(n) >= surgeShare*float64(w.Offered)
 }
 
-// findSurges finds the times in which calls were rejected or dropped.
+// findSurges finds the sequences of windows in which many calls were rejected or dropped.
 func (r *Report) findSurges() {
 	for _, rule := range surgeRules {
 		for i := 0; i < len(r.Windows); i++ {
@@ -46,7 +46,7 @@
 	}
 }
 
-// newSurge makes the finding of the windows from first up to, not including, end.
+// newSurge returns the finding for the windows from first up to, but not including, end.
 func (r *Report) newSurge(rule surgeRule, first, end int) Finding {
 	var sum Counts
 	incomplete := false
@@ -66,7 +66,7 @@
 	}
 }
 
-// onTimeLine is a moment on the report's own time line.
+// onTimeLine returns the moment of a time on the report's time line, which is exact.
 func (r *Report) onTimeLine(at Time) Moment {
 	return Moment{Earliest: at, Latest: at, Known: r.Reference != "", Peer: r.Reference, Source: -1, Own: at}
 }
--- a/internal/incident/lists.go
+++ b/internal/incident/lists.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Bounds of a Part, whatever its records contain.
+// Bounds of the memory of a Part, whatever its records contain.
 const (
 	maxClasses     = 64
 	maxServers     = 4096
-	maxOpenCalls   = 1 << 18 // calls whose final answer is awaited
+	maxOpenCalls   = 1 << 18 // calls without a final answer yet
 	maxBinsOfStart = 512     // bins of one start
 	maxBins        = 8192    // bins of all starts together; at least two for each start
 	maxStarts      = 4096    // starts; later ones are merged into the last
@@ -20,7 +20,7 @@
 	maxCounters    = 256 // names in each map of counters
 )
 
-// A Ref names a record.
+// A Ref identifies a record by its instance, run and sequence number.
 type Ref struct {
 	Instance string `json:"instance"`
 	Boot     string `json:"boot"`
@@ -31,12 +31,12 @@
 type Start struct {
 	Boot            uint64
 	Program         string
-	From, To        Time // of its records, by its own clock
-	Clean           bool // it ended in good order
-	Stopping        Time // when SIGTERM came; 0: it did not
+	From, To        Time // of its first and last record, by its own clock
+	Clean           bool // it ended with an orderly shutdown
+	Stopping        Time // when it received SIGTERM; 0 if it did not
 	Offset          Offset
 	Steps           []ClockStep
-	wallClockOffset time.Duration // the system's clock less the program's own, at the last reading
+	wallClockOffset time.Duration // difference of the system's clock from the program's own, at the last reading
 	hasWallClock    bool          // wallClockOffset is known
 	series          series
 }
@@ -51,23 +51,24 @@
 type Gap struct {
 	From, To   uint64 // sequence numbers; 0: not known
 	Cause      string
-	Since      Time // last time that is known before the gap
+	Since      Time // latest known time before the gap
 	Until      Time
 	startIndex int // in Part.Starts
 }
 
-// A Drain is the announcement that a server drains or is removed, with what the instance sent there afterwards.
+// A Drain is the announcement that a server drains or is removed, with the attempts that the instance sent there
+// afterwards.
 type Drain struct {
 	Server, Phase string
 	At            Time
 	Sent          uint64        // attempts after the announcement
 	SentLate      uint64        // of these, more than drainGrace after it
-	LastSend      time.Duration // the last one, after the announcement
+	LastSend      time.Duration // delay of the last attempt after the announcement
 	Ref           Ref
 	startIndex    int
 }
 
-// A ColdStart is a server that had just started when the instance learned of it.
+// A ColdStart is a server that had just started when the instance discovered it.
 type ColdStart struct {
 	Server      string
 	Pool        int
@@ -83,16 +84,16 @@
 // slowStartFifths is the number of parts into which a slow-start period is divided.
 const slowStartFifths = 5
 
-// An OverloadPeriod is a time in which an instance held a rate limit on a server.
+// An OverloadPeriod is a time during which an instance limited its rate to a server.
 type OverloadPeriod struct {
 	Server     string
-	From, To   Time    // To is 0 if the limit stood at the end of the records
+	From, To   Time    // To is 0 if the limit was still set at the end of the records
 	MinRate    float64 // lowest rate limit, in attempts a second
 	Ref, End   Ref
 	startIndex int
 }
 
-// A SlowSetup is a call that took long to be established.
+// A SlowSetup is a call with one of the longest set-up times.
 type SlowSetup struct {
 	Call, Class, Server string
 	At                  Time
@@ -102,7 +103,7 @@
 	startIndex          int
 }
 
-// compareSlowest sorts the slowest first, and equal ones by their time and name.
+// compareSlowest orders calls by set-up time, the slowest first, and equal ones by their time and name.
 func compareSlowest(a, b SlowSetup) int {
 	return cmp.Or(
 		cmp.Compare(b.SetupTime, a.SetupTime),
@@ -120,7 +121,8 @@
 	startIndex  int
 }
 
-// Reasons why a set-up has no final answer in the records.
+// Reasons why a set-up has no final answer in the records. They are keys in the JSON form of a report, so their wording
+// does not change.
 const (
 	ReasonKilled     = "the instance ended without a word"
 	ReasonGap        = "records are lost behind it"
