--- a/internal/incident/findlosses.go
+++ b/internal/incident/findlosses.go
@@ -33,7 +33,7 @@
 			IsFault:    true,
 			Incomplete: true,
 			Refs:       []Ref{{p.Instance, fmt.Sprintf("%016x", s.Boot), 0}},
-			Text:       fmt.Sprintf("the last record is of %v before the next start", pause),
+			Text:       fmt.Sprintf("the last record was written %v before the next start", pause),
 		})
 	}
 }
@@ -95,7 +95,7 @@
 				Instance: i.Name,
 				From:     s.From,
 				To:       s.To,
-				Text: fmt.Sprintf("%v to %v ahead of %s; times here are corrected",
+				Text: fmt.Sprintf("%v to %v ahead of %s; times in this report are corrected",
 					o.Min.Round(time.Millisecond), o.Max.Round(time.Millisecond), o.Peer),
 			})
 		}
@@ -113,7 +113,7 @@
 			Instance: instance,
 			From:     at,
 			To:       at,
-			Text: fmt.Sprintf("the system's clock was set by %v; times here do not follow it",
+			Text: fmt.Sprintf("the system's clock was set by %v; times in this report do not follow it",
 				step.By.Round(time.Millisecond)),
 		})
 	}
--- a/internal/incident/findoverload.go
+++ b/internal/incident/findoverload.go
@@ -29,7 +29,7 @@
 			periods = periods[n:]
 			counts, incomplete := r.sumWithin(f.From.Mid(), f.To.Mid())
 			f.Incomplete = incomplete
-			f.Text = fmt.Sprintf("%d of %d instances noticed; %s turned away of %s offered meanwhile",
+			f.Text = fmt.Sprintf("%d of %d instances noticed; meanwhile %s calls were rejected or failed, %s were offered",
 				len(f.Noticed), len(parts),
 				formatCount(counts.Rejected()+counts.Outcome(record.OutcomeFailed), incomplete),
 				formatCount(counts.Offered, incomplete))
--- a/internal/incident/findservers.go
+++ b/internal/incident/findservers.go
@@ -13,7 +13,7 @@
 	minColdSends       = 20
 )
 
-const nothingSent = "nothing was sent after the news"
+const nothingSent = "nothing was sent after the announcement"
 
 // findDrains finds, for each server that was drained, the last attempt of any instance after the announcement.
 func (r *Report) findDrains(parts []*Part) {
@@ -51,7 +51,7 @@
 		Text:     d.Phase + "; " + nothingSent,
 	}
 	if d.Sent > 0 {
-		f.Text = fmt.Sprintf("%s; %d sent after the news, the last after %v",
+		f.Text = fmt.Sprintf("%s; %d sent after the announcement, the last after %v",
 			d.Phase, d.Sent, d.LastSend.Round(time.Millisecond))
 	}
 	if d.SentLate > 0 {
@@ -86,9 +86,9 @@
 	phase, _, _ := strings.Cut(f.Text, ";")
 	sent := nothingSent
 	if lastSend > 0 {
-		sent = fmt.Sprintf("the last send was %v after the news", lastSend.Round(time.Millisecond))
+		sent = fmt.Sprintf("the last attempt was %v after the announcement", lastSend.Round(time.Millisecond))
 	}
-	f.Text = fmt.Sprintf("%s; %d instances heard of it, %s", phase, n, sent)
+	f.Text = fmt.Sprintf("%s; %d instances were notified, %s", phase, n, sent)
 	return f, n
 }
 
@@ -139,7 +139,7 @@
 	for _, sent := range s.sentByFifth {
 		total += sent
 	}
-	s.Text = fmt.Sprintf("%d sent while it was cold, by fifths of that time %v", total, s.sentByFifth)
+	s.Text = fmt.Sprintf("%d sent during slow start, by fifths of the period %v", total, s.sentByFifth)
 	if total < minColdSends {
 		return
 	}
--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -259,7 +259,7 @@
 	}
 	r := Combine(parts)
 	p := r.of(FoundOverload)
-	if len(p) != 1 || p[0].Server != "s" || len(p[0].Noticed) != 2 || p[0].Ongoing || !strings.Contains(p[0].Text, "2 of 3 instances noticed; 60 turned away") {
+	if len(p) != 1 || p[0].Server != "s" || len(p[0].Noticed) != 2 || p[0].Ongoing || !strings.Contains(p[0].Text, "2 of 3 instances noticed; meanwhile 60 calls were rejected or failed, 60 were offered") {
 		t.Fatalf("%+v", p)
 	}
 	if n := p[0].Noticed[1]; n.Instance != "n1" || n.Order != OrderAfter || n.MinDelay < 250*time.Millisecond || n.MaxDelay > 350*time.Millisecond || n.MinRate != 2 || len(p[0].Refs) != 4 {
@@ -305,7 +305,7 @@
 		f.put(record.Record{Kind: record.KindAttemptStarted, At: day + 2*time.Second, Call: "warm", Server: "s"})
 		f.put(record.Record{Kind: record.KindEnd, At: day + 3*time.Second})
 		r := Combine([]*Part{f.done()})
-		if got := r.of(c.kind); len(got) != 1 || !strings.HasPrefix(got[0].Text, "100 sent while it was cold") {
+		if got := r.of(c.kind); len(got) != 1 || !strings.HasPrefix(got[0].Text, "100 sent during slow start") {
 			t.Errorf("%s: %+v", name, r.Findings)
 		}
 	}
