--- a/internal/report/golden_test.go
+++ b/internal/report/golden_test.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/goldentest"
 )
 
-// The accounts of the committed stores are the same bytes as when they were committed.
+// The reports of the committed stores are byte for byte those in the golden files.
 func TestGoldenReports(t *testing.T) {
 	for name, dir := range map[string]string{
 		"incident":  filepath.Join("testdata", "incident"),
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -34,8 +34,8 @@
 	return r
 }
 
-// shownTotals is what the JSON of a report says, in the form of a count one by one.
-func shownTotals(t *testing.T, r *Result) map[string]map[string]uint64 {
+// jsonTotals returns the totals in the JSON form of a report, in the form that countRecords returns.
+func jsonTotals(t *testing.T, r *Result) map[string]map[string]uint64 {
 	t.Helper()
 	var b bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
@@ -78,8 +78,8 @@
 	return all
 }
 
-// oneByOne counts what `olivectl records cat --json` prints, knowing nothing of the analysis.
-func oneByOne(t *testing.T, dir string) map[string]map[string]uint64 {
+// countRecords counts the records that `olivectl records cat --json` prints, independently of the analysis.
+func countRecords(t *testing.T, dir string) map[string]map[string]uint64 {
 	t.Helper()
 	stores, err := record.Find(dir)
 	if err != nil {
@@ -140,10 +140,10 @@
 	return all
 }
 
-// The recorded incident that is kept: four instances, one with a segment removed, one whose
-// clock is 3.7 s ahead, one set back by 2 s, one killed. Totals equal a count of the records
-// one by one and the totals written down when it was recorded.
-func TestKeptIncident(t *testing.T) {
+// The totals of the committed incident equal an independent count of its records and the totals that were stored when it
+// was recorded. It has four instances: one with a segment removed, one whose clock is 3.7 s ahead, one whose clock was
+// set back by 2 s, and one that was killed.
+func TestRecordedIncident(t *testing.T) {
 	dir := filepath.Join("testdata", "incident")
 	text, err := os.ReadFile(filepath.Join(dir, "expected.json"))
 	if err != nil {
@@ -154,21 +154,21 @@
 		t.Fatal(err)
 	}
 	r := read(t, Options{}, dir)
-	got, naive := shownTotals(t, r), oneByOne(t, dir)
+	got, counted := jsonTotals(t, r), countRecords(t, dir)
 	for name, counts := range want {
 		for what, n := range counts {
-			if got[name][what] != n || naive[name][what] != n {
-				t.Errorf("%s %s: %d, one by one %d, written down %d", name, what, got[name][what], naive[name][what], n)
+			if got[name][what] != n || counted[name][what] != n {
+				t.Errorf("%s %s: %d in the report, %d records, want %d", name, what, got[name][what], counted[name][what], n)
 			}
 		}
 	}
-	for name, counts := range got { // attempts of classes are the analysis' own
+	for name, counts := range got { // records of attempts have no class, so countRecords cannot count them by class
 		if strings.HasPrefix(name, "class ") {
 			delete(counts, "tries")
 			delete(counts, "retried")
 		}
-		if !reflect.DeepEqual(counts, naive[name]) {
-			t.Errorf("%s: %v, one by one %v", name, counts, naive[name])
+		if !reflect.DeepEqual(counts, counted[name]) {
+			t.Errorf("%s: %v in the report, %v counted in the records", name, counts, counted[name])
 		}
 	}
 	var page bytes.Buffer
@@ -177,34 +177,34 @@
 	}
 	for _, part := range []string{"87 records, 78 to 164: missing", "clock set", "none: runs or was killed", "3.7s ahead", "≥", "<svg"} {
 		if !strings.Contains(page.String(), part) {
-			t.Errorf("the page does not tell %q", part)
+			t.Errorf("the page does not contain %q", part)
 		}
 	}
-	// Copies of the stores change nothing.
-	twice := t.TempDir()
-	if err := os.CopyFS(twice, os.DirFS(dir)); err != nil {
+	// Copies of the stores do not change the totals.
+	copies := t.TempDir()
+	if err := os.CopyFS(copies, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	both := read(t, Options{}, dir, twice)
-	again := shownTotals(t, both)
-	for name := range again {
+	both := read(t, Options{}, dir, copies)
+	withCopies := jsonTotals(t, both)
+	for name := range withCopies {
 		if strings.HasPrefix(name, "class ") {
-			delete(again[name], "tries")
-			delete(again[name], "retried")
+			delete(withCopies[name], "tries")
+			delete(withCopies[name], "retried")
 		}
 	}
-	if !reflect.DeepEqual(again, got) || both.Copies != 4 {
-		t.Errorf("with copies: %v, %d copies", again["total"], both.Copies)
+	if !reflect.DeepEqual(withCopies, got) || both.Copies != 4 {
+		t.Errorf("with copies: %v, %d copies", withCopies["total"], both.Copies)
 	}
-	if err := os.RemoveAll(filepath.Join(twice, "n0")); err != nil {
+	if err := os.RemoveAll(filepath.Join(copies, "n0")); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// write fills a store.
-func write(t testing.TB, dir, name string, put func(put func(record.Record))) {
+// writeStore writes a store with the records that put passes on.
+func writeStore(t testing.TB, dir, name string, put func(put func(record.Record))) {
 	t.Helper()
-	l, _, err := record.Open(record.Options{Dir: dir, Name: name, QueueBytes: 4 << 20, SyncInterval: 10 * time.Millisecond, SegmentBytes: 64 << 20, TotalBytes: 4 << 30, StartTime: wall})
+	l, _, err := record.Open(record.Options{Dir: dir, Name: name, QueueBytes: 4 << 20, SyncInterval: 10 * time.Millisecond, SegmentBytes: 64 << 20, TotalBytes: 4 << 30, StartTime: testStart})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,17 +219,18 @@
 	}
 }
 
-const wall = record.Time(1_790_000_000) * time.Second
+// testStart is when the records of these tests begin.
+const testStart = record.Time(1_790_000_000) * time.Second
 
-// Nothing that stands in a record gets out of the page: no element, no attribute, no script.
-func TestNothingBreaksOut(t *testing.T) {
+// Texts of records are escaped in the page: none of them adds an element, an attribute, a script or a control character.
+func TestPageEscapesTextsOfRecords(t *testing.T) {
 	dir := t.TempDir()
-	evil := []string{`</td><script>alert(1)</script>`, `"><svg onload=alert(1)>`, `<img src=x onerror=alert(1)>`, "\x1b[2J\u202e{{.}}", "</svg><style>*{display:none}</style>",
+	malicious := []string{`</td><script>alert(1)</script>`, `"><svg onload=alert(1)>`, `<img src=x onerror=alert(1)>`, "\x1b[2J\u202e{{.}}", "</svg><style>*{display:none}</style>",
 		`javascript:alert(1)`, "\xff\xfe<b>"}
-	write(t, filepath.Join(dir, "x"), evil[0], func(put func(record.Record)) {
-		put(record.Record{Kind: record.KindConfig, At: wall, By: "class", Class: evil[1], Wait: time.Millisecond, Took: time.Second})
-		for i, s := range evil {
-			at := wall + record.Time(i)*time.Second
+	writeStore(t, filepath.Join(dir, "x"), malicious[0], func(put func(record.Record)) {
+		put(record.Record{Kind: record.KindConfig, At: testStart, By: "class", Class: malicious[1], Wait: time.Millisecond, Took: time.Second})
+		for i, s := range malicious {
+			at := testStart + record.Time(i)*time.Second
 			put(record.Record{Kind: record.KindCallOffered, At: at, Call: s, Class: s, Number: s})
 			put(record.Record{Kind: record.KindDecision, At: at, Call: s, Code: uint8(record.DecisionReject), Text: s})
 			put(record.Record{Kind: record.KindAttemptStarted, At: at, Call: s, Server: s})
@@ -250,7 +251,7 @@
 	if page.Len() < 10000 {
 		t.Error("the page is empty")
 	}
-	ours := strings.Fields("html head meta title style body h1 h2 h3 p div b span a table tbody tr th td svg g path text rect details summary ul li code")
+	allowed := strings.Fields("html head meta title style body h1 h2 h3 p div b span a table tbody tr th td svg g path text rect details summary ul li code")
 	z := html.NewTokenizer(bytes.NewReader(page.Bytes()))
 	styles := 0
 	for {
@@ -271,7 +272,7 @@
 		if token.Data == "style" {
 			styles++
 		}
-		if !slices.Contains(ours, token.Data) {
+		if !slices.Contains(allowed, token.Data) {
 			t.Errorf("element %q", token.Data)
 		}
 		for _, a := range token.Attr {
@@ -296,17 +297,17 @@
 	}
 }
 
-// Bounds in time leave out calls, not what tells of the state of things.
+// Bounds in time leave out calls, but not the records on the state of servers.
 func TestBounds(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "n0", func(put func(record.Record)) {
-		put(record.Record{Kind: record.KindServer, At: wall, Server: "s", Code: uint8(record.ServerDraining)})
+	writeStore(t, dir, "n0", func(put func(record.Record)) {
+		put(record.Record{Kind: record.KindServer, At: testStart, Server: "s", Code: uint8(record.ServerDraining)})
 		for i := range 10 {
-			put(record.Record{Kind: record.KindCallOffered, At: wall + record.Time(i)*time.Second, Call: fmt.Sprint(i), Class: "voice"})
+			put(record.Record{Kind: record.KindCallOffered, At: testStart + record.Time(i)*time.Second, Call: fmt.Sprint(i), Class: "voice"})
 		}
-		put(record.Record{Kind: record.KindEnd, At: wall + 10*time.Second})
+		put(record.Record{Kind: record.KindEnd, At: testStart + 10*time.Second})
 	})
-	r := read(t, Options{From: wall + 2*time.Second, To: wall + 4*time.Second}, dir)
+	r := read(t, Options{From: testStart + 2*time.Second, To: testStart + 4*time.Second}, dir)
 	if r.Total.Offered != 3 || len(r.Findings) < 1 {
 		t.Errorf("%+v, %+v", r.Total.Counts, r.Findings)
 	}
@@ -322,9 +323,9 @@
 	}
 	dir := b.TempDir()
 	for i := range 8 {
-		write(b, filepath.Join(dir, fmt.Sprint("n", i)), fmt.Sprint("n", i), func(put func(record.Record)) {
+		writeStore(b, filepath.Join(dir, fmt.Sprint("n", i)), fmt.Sprint("n", i), func(put func(record.Record)) {
 			for n := range total / 8 / 6 {
-				at, id, s := wall+record.Time(n)*time.Millisecond, fmt.Sprintf("%08x%08x", i, n), fmt.Sprint("s-", n%20)
+				at, id, s := testStart+record.Time(n)*time.Millisecond, fmt.Sprintf("%08x%08x", i, n), fmt.Sprint("s-", n%20)
 				put(record.Record{Kind: record.KindCallOffered, At: at, Call: id, Class: "voice", Number: "100", Wait: 3 * time.Second})
 				put(record.Record{Kind: record.KindDecision, At: at, Call: id, Code: uint8(record.DecisionSend), Server: s, Wait: time.Second})
 				put(record.Record{Kind: record.KindAttemptStarted, At: at, Call: id, Server: s, Wait: time.Second})
@@ -332,7 +333,7 @@
 				put(record.Record{Kind: record.KindRelease, At: at + 30*time.Millisecond, Call: id, Class: "voice", Server: s, End: "completed", Cause: 16, Took: time.Minute})
 				put(record.Record{Kind: record.KindAttemptEnded, At: at + 30*time.Millisecond, Call: id, Server: s, End: "completed", Took: time.Minute})
 			}
-			put(record.Record{Kind: record.KindEnd, At: wall + 24*time.Hour})
+			put(record.Record{Kind: record.KindEnd, At: testStart + 24*time.Hour})
 		})
 	}
 	runtime.GC()
