--- a/internal/report/charts.go
+++ b/internal/report/charts.go
@@ -15,7 +15,7 @@
 	"olivedale/internal/svg"
 )
 
-// Room above the curves for the legend, as a factor of the largest value.
+// Factors by which the y axis exceeds the largest value, which leaves room for the legend.
 const (
 	callsHeadroom     = 1.25
 	setupTimeHeadroom = 1.2
@@ -79,7 +79,7 @@
 
 // Plot implements plot.Plotter.
 func (b bars) Plot(c draw.Canvas, p *plot.Plot) {
-	const halfHeight = 0.32 // of a row
+	const halfHeight = 0.32 // in rows
 	const minWidth = vg.Length(2)
 	x, y := p.Transforms(&c)
 	for _, s := range b {
@@ -95,8 +95,8 @@
 // maxServerRows bounds the plot of servers; further servers are left out.
 const maxServerRows = 30
 
-// drawServers draws when servers were overloaded, draining or in slow start. It is empty if no finding is about a
-// server.
+// drawServers draws when servers were overloaded, draining or in slow start. The result is empty if no finding is about
+// a server.
 func (r *Result) drawServers() (template.HTML, error) {
 	names, all := r.serverBars()
 	if len(names) == 0 {
@@ -114,7 +114,7 @@
 	return svg.Draw(p, plotWidth, height)
 }
 
-// serverBars returns the servers that findings are about, in their order, and the bars of their rows.
+// serverBars returns the servers that findings are about, in the order of the findings, and the bars of their rows.
 func (r *Result) serverBars() (names []string, all bars) {
 	for _, f := range r.Findings {
 		shade, ok := findingShade(f.Kind)
@@ -134,7 +134,7 @@
 	return names, all
 }
 
-// findingShade is the colour of a kind of findings; ok is false for kinds that are not about a server.
+// findingShade returns the colour for a kind of findings; ok is false for kinds that the plot of servers does not show.
 func findingShade(kind string) (shade color.Color, ok bool) {
 	switch kind {
 	case incident.FoundOverload:
--- a/internal/report/format.go
+++ b/internal/report/format.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/record"
 )
 
-// formatCount writes a number with narrow no-break spaces between thousands.
+// formatCount formats a number with narrow no-break spaces between groups of three digits.
 func formatCount(n uint64) string {
 	s := strconv.FormatUint(n, 10)
 	for i := len(s) - 3; i > 0; i -= 3 {
@@ -18,7 +18,7 @@
 	return s
 }
 
-// formatMilliseconds writes a duration in milliseconds, or in seconds if it is 10 s or more; 0 is a dash.
+// formatMilliseconds formats a duration in milliseconds, or in seconds if it is 10 s or more; 0 is a dash.
 func formatMilliseconds(d time.Duration) string {
 	switch {
 	case d == 0:
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%.0f ms", milliseconds(d))
 }
 
-// formatSigned writes a duration that may be negative.
+// formatSigned formats a duration that may be negative.
 func formatSigned(d time.Duration) string {
 	if d < 0 {
 		return "-" + formatMilliseconds(-d)
@@ -39,7 +39,7 @@
 	return formatMilliseconds(d)
 }
 
-// formatMoment writes a moment with its error, if that is a millisecond or more.
+// formatMoment formats the middle of a moment, with the possible error if that is a millisecond or more.
 func formatMoment(m incident.Moment) string {
 	s := record.Unix(m.Mid()).Format("01-02 15:04:05.000")
 	if half := (m.Latest - m.Earliest) / 2; half >= time.Millisecond {
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"fmt"
 	"html/template"
 	"io"
@@ -27,7 +27,7 @@
 	"pairs": sortedCounts,
 }).Parse(pageText))
 
-// pageData is what page.html shows.
+// pageData is the data of the template page.html.
 type pageData struct {
 	*Result
 	Made      string
@@ -38,9 +38,9 @@
 	ByServer  []Row
 	ByInst    []instanceRow
 	Found     []findingRow
-	Bad       int // findings that are faults
+	Bad       int // number of findings that are faults
 	GapRows   []string
-	Compared  int // instances whose clocks were compared with the reference
+	Compared  int // number of instances whose clocks were compared with the reference
 	WidthText string
 	Answered  uint64
 }
@@ -95,8 +95,8 @@
 	Incomplete bool
 }
 
-// WriteHTML writes the report as one HTML file that needs no other file. Texts that come from records are escaped
-// by html/template and by the drawing of plots. It fails if w does, or if a plot cannot be drawn.
+// WriteHTML writes the report as one self-contained HTML file. Texts that come from records are escaped by
+// html/template and by the SVG renderer. It fails if w does, or if a plot cannot be drawn.
 func (r *Result) WriteHTML(w io.Writer, made time.Time) error {
 	data := pageData{
 		Result:    r,
@@ -224,7 +224,7 @@
 	return row
 }
 
-// formatSubjects names the server and the instance that a finding is about.
+// formatSubjects returns the names of the server and the instance that a finding is about.
 func formatSubjects(f incident.Finding) string {
 	var subjects []string
 	for _, name := range []string{f.Server, f.Instance} {
@@ -235,7 +235,7 @@
 	return strings.Join(subjects, ", ")
 }
 
-// formatNotice says when an instance noticed a finding, relative to the first one.
+// formatNotice formats when an instance noticed a finding, relative to the first instance that did.
 func formatNotice(n incident.Notice, isFirst bool) string {
 	name := record.Printable(n.Instance)
 	delay := formatSigned(n.MinDelay) + " to " + formatSigned(n.MaxDelay)
--- a/internal/report/json.go
+++ b/internal/report/json.go
@@ -10,8 +10,8 @@
 	"olivedale/internal/record"
 )
 
-// The types of this file define the JSON form of a report. Their keys are an interface to operators' scripts and
-// keep their first names; docs/glossary.md maps them to the terms used in the code.
+// The types of this file define the JSON form of a report. Their keys are an interface to operators' scripts and keep
+// the older terms; docs/glossary.md maps them to the terms used in the code.
 
 // Totals are the counts of a group of calls. Each count is a plain count of records.
 type Totals struct {
@@ -80,12 +80,12 @@
 
 // jsonMoment is a time with the error of the clock comparison.
 type jsonMoment struct {
-	At       string  `json:"at"`                 // middle of the interval that is known
-	ErrorMS  float64 `json:"error_ms,omitempty"` // to either side
-	Compared bool    `json:"compared"`           // with the reference's clock
+	At       string  `json:"at"`                 // middle of the interval
+	ErrorMS  float64 `json:"error_ms,omitempty"` // half of the interval's length
+	Compared bool    `json:"compared"`           // the clock was compared with the reference's
 }
 
-// jsonNotice is when one instance noticed a finding.
+// jsonNotice says when one instance noticed a finding.
 type jsonNotice struct {
 	Instance   string     `json:"instance"`
 	At         jsonMoment `json:"at"`
@@ -94,7 +94,7 @@
 	MaxDelayMS float64    `json:"after_first_ms_most"`
 }
 
-// jsonFinding is one finding with the records that it rests on.
+// jsonFinding is one finding with the records that it is based on.
 type jsonFinding struct {
 	Kind       string         `json:"kind"`
 	Server     string         `json:"server,omitempty"`
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -13,7 +13,7 @@
 	"olivedale/internal/incident"
 )
 
-// Colours of the plots. They differ in brightness, so that they can be told apart in grey print.
+// Colours of the plots. They differ in brightness, so that they can be distinguished in a greyscale print.
 var (
 	blue   = color.RGBA{0x1f, 0x4e, 0x8c, 0xff}
 	green  = color.RGBA{0x2a, 0x8a, 0x57, 0xff}
@@ -29,7 +29,7 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// seconds is the position of a time on the x axis.
+// seconds returns the position of a time on the x axis.
 func seconds(t incident.Time) float64 { return t.Seconds() }
 
 // A band is an interval of the x axis that is shaded because records are lost.
@@ -49,7 +49,7 @@
 	}
 }
 
-// A mark is a finding, numbered as in the table, at the top of a plot.
+// A mark is a vertical line at the begin of a finding, labelled with the number that the finding has in the table.
 type mark struct {
 	at    float64
 	label string
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// segments returns the points of a curve between its interruptions. A single point is extended to half a window,
+// segments returns the points of a curve, split where it is interrupted. A single point is extended to half a window,
 // since a line of one point is invisible.
 func (r *Result) segments(c curve) (all []plotter.XYs) {
 	var points plotter.XYs
@@ -135,7 +135,7 @@
 	return all
 }
 
-// newPlot returns a plot with the time axis of the report and its gaps.
+// newPlot returns a plot with the time axis of the report and shaded bands where records are lost.
 func (r *Result) newPlot(title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
--- a/internal/report/read.go
+++ b/internal/report/read.go
@@ -1,5 +1,5 @@
 // Package report reads record stores, has internal/incident analyse them, and writes the result as one HTML file or as
-// JSON. It draws and formats what was found; it counts nothing itself.
+// JSON. It only draws and formats; all counting is done by internal/incident.
 package report
 
 import (
@@ -16,12 +16,13 @@
 	"olivedale/internal/record"
 )
 
-// Options select what is read. The zero value reads everything.
+// Options select the records that are read. The zero value selects all.
 type Options struct {
 	From, To record.Time // calls within these times, by the clocks of their instances; 0: no bound
-	Workers  int         // stores that are read concurrently; 0: one per processor
+	Workers  int         // number of stores that are read concurrently; 0: one per processor
 
-	// Progress, if not nil, is called now and then with the stores that are finished and the records that are read.
+	// Progress, if not nil, is called at intervals with the numbers of stores that are finished and of records that are
+	// read so far. Calls do not overlap.
 	Progress func(stores int, records uint64)
 }
 
@@ -29,9 +30,9 @@
 type Result struct {
 	*incident.Report
 	Damages []Damage
-	More    int    // damages past the bound of the list
-	Copies  int    // directories that are copies of another
-	Clash   uint64 // record numbers that stand for different records in copies of one store
+	More    int    // number of damages left out of Damages
+	Copies  int    // number of directories that are copies of another
+	Clash   uint64 // sequence numbers with different records in copies of one store
 }
 
 // A Damage is one damaged place in a store.
@@ -69,9 +70,9 @@
 	return &c.result, nil
 }
 
-// A collector gathers what concurrent readers find. Its methods may be called from any goroutine.
+// A collector merges the results of concurrent readers. Its methods may be called from any goroutine.
 type collector struct {
-	progress func(stores int, records uint64) // nil: nobody is told
+	progress func(stores int, records uint64) // may be nil
 
 	mu      sync.Mutex // guards the fields below
 	fleet   incident.Fleet
@@ -80,7 +81,7 @@
 	records uint64
 }
 
-// addRecords counts records that were read.
+// addRecords counts records that were read and reports the progress.
 func (c *collector) addRecords(n uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// addStore takes the account of a store that is read to its end.
+// addStore adds the analysis of a store that was read to its end.
 func (c *collector) addStore(part *incident.Part, union *record.Union) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +114,7 @@
 // progressInterval is the number of records between two reports of progress.
 const progressInterval = 1 << 17
 
-// readStore reads one store and returns its account. The union is closed and only good for its statistics.
+// readStore reads one store and returns its analysis. The returned union is closed; only its statistics may be used.
 func readStore(
 	ctx context.Context, store record.Store, o Options, progress func(uint64),
 ) (*incident.Part, *record.Union, error) {
@@ -130,7 +131,7 @@
 	return part, union, union.Close()
 }
 
-// readRecords hands all records of a store to its account.
+// readRecords passes all records of a store to its analysis.
 func readRecords(ctx context.Context, union *record.Union, part *incident.Part, progress func(uint64)) error {
 	var r record.Record
 	n := uint64(0)
