--- a/internal/report/charts.go
+++ b/internal/report/charts.go
@@ -23,7 +23,7 @@
 
 // drawCalls draws the results of calls over time.
 func (r *Result) drawCalls() (template.HTML, error) {
-	p := r.newPlot("Calls", "a second")
+	p := r.newPlot("Calls", "calls per second")
 	rate := func(count func(*incident.Counts) uint64) func(*incident.Window) (float64, bool) {
 		return func(w *incident.Window) (float64, bool) {
 			return float64(count(&w.Counts)) / r.Width.Seconds(), true
@@ -32,10 +32,10 @@
 	dashed := []vg.Length{vg.Points(4), vg.Points(2)}
 	for _, c := range []curve{
 		{"offered", blue, nil, rate(func(c *incident.Counts) uint64 { return c.Offered })},
-		{"stood", green, nil, rate((*incident.Counts).Established)},
-		{"turned away", orange, nil, rate((*incident.Counts).Rejected)},
+		{"established", green, nil, rate((*incident.Counts).Established)},
+		{"rejected", orange, nil, rate((*incident.Counts).Rejected)},
 		{"failed", red, nil, rate(func(c *incident.Counts) uint64 { return c.Outcome(record.OutcomeFailed) })},
-		{"cut", purple, dashed, rate(func(c *incident.Counts) uint64 { return c.Dropped })},
+		{"dropped", purple, dashed, rate(func(c *incident.Counts) uint64 { return c.Dropped })},
 	} {
 		if err := r.addCurve(p, c); err != nil {
 			return "", err
@@ -50,7 +50,7 @@
 
 // drawSetupTimes draws the set-up times of established calls over time.
 func (r *Result) drawSetupTimes() (template.HTML, error) {
-	p := r.newPlot("Time until a call stood", "ms")
+	p := r.newPlot("Set-up time of established calls", "ms")
 	value := func(of func(*incident.Window) time.Duration) func(*incident.Window) (float64, bool) {
 		return func(w *incident.Window) (float64, bool) { return milliseconds(of(w)), w.Established() > 0 }
 	}
@@ -102,7 +102,7 @@
 	if len(names) == 0 {
 		return "", nil
 	}
-	p := r.newPlot("Servers: pressure (orange), drains (black), cold starts (blue), broken rules (red)", "")
+	p := r.newPlot("Servers: overload (orange), drains (black), cold starts (blue), broken rules (red)", "")
 	labels := make([]string, len(names))
 	for i, name := range names {
 		labels[i] = truncate(record.Printable(name), 24)
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -184,7 +184,7 @@
 		Records: i.Records,
 		Lost:    i.Lost,
 		Ahead:   cmp.Or(formatOffset(i), "not compared"),
-		End:     "in good order",
+		End:     "orderly shutdown",
 	}
 	for n, s := range i.Starts {
 		row.Steps += len(s.Steps)
@@ -193,7 +193,7 @@
 		}
 	}
 	if i.Live {
-		row.End = "none: runs or was killed"
+		row.End = "none: still running or killed"
 	}
 	return row
 }
@@ -213,7 +213,7 @@
 		row.Took = formatMilliseconds((shortest + longest) / 2)
 	}
 	if f.Ongoing {
-		row.To = "not over"
+		row.To = "ongoing"
 	}
 	for i, notice := range f.Noticed {
 		row.Noticed = append(row.Noticed, formatNotice(notice, i == 0))
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -175,7 +175,7 @@
 	if err := r.WriteHTML(&page, time.Unix(0, 0)); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []string{"87 records, 78 to 164: missing", "clock set", "none: runs or was killed", "3.7s ahead", "≥", "<svg"} {
+	for _, part := range []string{"87 records, 78 to 164: missing", "clock set", "none: still running or killed", "3.7s ahead", "≥", "<svg"} {
 		if !strings.Contains(page.String(), part) {
 			t.Errorf("the page does not contain %q", part)
 		}
