--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -52,21 +52,21 @@
 
 // A Row is one line of a table of counts.
 type Row struct {
-	Name    string
-	Note    string // "at least" if records are lost
-	Offered uint64
-	Stood   uint64
-	Late    uint64
-	Refused uint64
-	Failed  uint64
-	GivenUp uint64
-	Other   uint64
-	Cut     uint64
-	Tries   uint64
-	Retried uint64
-	P50     time.Duration
-	P95     time.Duration
-	P99     time.Duration
+	Name        string
+	Note        string // "at least" if records are lost
+	Offered     uint64
+	Established uint64
+	Late        uint64
+	Rejected    uint64
+	Failed      uint64
+	Abandoned   uint64
+	Other       uint64
+	Dropped     uint64
+	Attempts    uint64
+	Retries     uint64
+	P50         time.Duration
+	P95         time.Duration
+	P99         time.Duration
 }
 
 // An instanceRow is one line of the table of instances.
@@ -148,21 +148,21 @@
 
 func newRow(name string, t *incident.Tally, incomplete bool) Row {
 	row := Row{
-		Name:    name,
-		Offered: t.Offered,
-		Stood:   t.Established(),
-		Late:    t.Late,
-		Refused: t.Rejected(),
-		Failed:  t.Outcome(record.OutcomeFailed),
-		GivenUp: t.Outcome(record.OutcomeAbandoned),
+		Name:        name,
+		Offered:     t.Offered,
+		Established: t.Established(),
+		Late:        t.Late,
+		Rejected:    t.Rejected(),
+		Failed:      t.Outcome(record.OutcomeFailed),
+		Abandoned:   t.Outcome(record.OutcomeAbandoned),
 		Other: t.Outcome(record.OutcomeReusedID) + t.Outcome(record.OutcomeInvalid) +
 			t.Outcome(record.OutcomeByPolicy),
-		Cut:     t.Dropped,
-		Tries:   t.Attempts,
-		Retried: t.Retries,
-		P50:     t.Percentile(50),
-		P95:     t.Percentile(95),
-		P99:     t.Percentile(99),
+		Dropped:  t.Dropped,
+		Attempts: t.Attempts,
+		Retries:  t.Retries,
+		P50:      t.Percentile(50),
+		P95:      t.Percentile(95),
+		P99:      t.Percentile(99),
 	}
 	if incomplete {
 		row.Note = "at least"
