--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -30,24 +30,24 @@
 // pageData is the data of the template page.html.
 type pageData struct {
 	*Result
-	Made      string
-	Span      string
-	Plots     pagePlots
-	Sum       Row
-	ByClass   []Row
-	ByServer  []Row
-	ByInst    []instanceRow
-	Found     []findingRow
-	Bad       int // number of findings that are faults
-	GapRows   []string
-	Compared  int // number of instances whose clocks were compared with the reference
-	WidthText string
-	Answered  uint64
+	Created     string
+	Duration    string
+	Plots       pagePlots
+	Sum         Row
+	ByClass     []Row
+	ByServer    []Row
+	ByInstance  []instanceRow
+	FindingRows []findingRow
+	Faults      int // number of findings that are faults
+	GapRows     []string
+	Compared    int // number of instances whose clocks were compared with the reference
+	WidthText   string
+	Answered    uint64
 }
 
 // pagePlots are the plots as SVG elements; empty if there is nothing to plot.
 type pagePlots struct {
-	Calls, Delays, Servers template.HTML
+	Calls, SetupTimes, Servers template.HTML
 }
 
 // A Row is one line of a table of counts.
@@ -85,11 +85,11 @@
 type findingRow struct {
 	N          int
 	Kind       string
-	Who        string
+	Subjects   string
 	From, To   string
-	Took       string
+	Duration   string
 	Text       string
-	Bad        bool
+	IsFault    bool
 	Noticed    []string
 	Refs       []string
 	Incomplete bool
@@ -97,10 +97,10 @@
 
 // WriteHTML writes the report as one self-contained HTML file. Texts that come from records are escaped by
 // html/template and by the SVG renderer. It fails if w does, or if a plot cannot be drawn.
-func (r *Result) WriteHTML(w io.Writer, made time.Time) error {
+func (r *Result) WriteHTML(w io.Writer, created time.Time) error {
 	data := pageData{
 		Result:    r,
-		Made:      made.UTC().Format("2006-01-02 15:04:05 UTC"),
+		Created:   created.UTC().Format("2006-01-02 15:04:05 UTC"),
 		Sum:       newRow("all", &r.Total, r.Incomplete),
 		ByClass:   r.newRows(r.Classes),
 		ByServer:  r.newRows(r.Servers),
@@ -109,19 +109,19 @@
 		Answered:  r.Total.Answered(),
 	}
 	for _, i := range r.Instances {
-		data.ByInst = append(data.ByInst, newInstanceRow(i))
+		data.ByInstance = append(data.ByInstance, newInstanceRow(i))
 		if formatOffset(i) != "" {
 			data.Compared++
 		}
 	}
 	for n, f := range r.Findings {
-		data.Found = append(data.Found, newFindingRow(n+1, f))
+		data.FindingRows = append(data.FindingRows, newFindingRow(n+1, f))
 		if f.IsFault {
-			data.Bad++
+			data.Faults++
 		}
 	}
 	if len(r.Windows) > 0 {
-		data.Span = (r.To - r.From).Round(time.Millisecond).String()
+		data.Duration = (r.To - r.From).Round(time.Millisecond).String()
 		plots, err := r.drawPlots()
 		if err != nil {
 			return err
@@ -139,7 +139,7 @@
 	if plots.Calls, err = r.drawCalls(); err != nil {
 		return plots, err
 	}
-	if plots.Delays, err = r.drawSetupTimes(); err != nil {
+	if plots.SetupTimes, err = r.drawSetupTimes(); err != nil {
 		return plots, err
 	}
 	plots.Servers, err = r.drawServers()
@@ -202,15 +202,15 @@
 	row := findingRow{
 		N:          n,
 		Kind:       f.Kind,
-		Who:        formatSubjects(f),
+		Subjects:   formatSubjects(f),
 		From:       formatMoment(f.From),
 		To:         formatMoment(f.To),
 		Text:       record.Printable(f.Text),
-		Bad:        f.IsFault,
+		IsFault:    f.IsFault,
 		Incomplete: f.Incomplete,
 	}
 	if shortest, longest, known := incident.Delay(f.From, f.To); known && longest > 0 {
-		row.Took = formatMilliseconds((shortest + longest) / 2)
+		row.Duration = formatMilliseconds((shortest + longest) / 2)
 	}
 	if f.Ongoing {
 		row.To = "ongoing"
