--- a/internal/report/read.go
+++ b/internal/report/read.go
@@ -29,10 +29,10 @@
 // A Result is the analysis of a set of stores.
 type Result struct {
 	*incident.Report
-	Damages []Damage
-	More    int    // number of damages left out of Damages
-	Copies  int    // number of directories that are copies of another
-	Clash   uint64 // sequence numbers with different records in copies of one store
+	Damages        []Damage
+	OmittedDamages int    // number of damages left out of Damages
+	Copies         int    // number of directories that are copies of another
+	Conflicts      uint64 // sequence numbers with different records in copies of one store
 }
 
 // A Damage is one damaged place in a store.
@@ -97,13 +97,13 @@
 	defer c.mu.Unlock()
 	c.stores++
 	c.fleet.Add(part)
-	c.result.Clash += union.Conflicts()
+	c.result.Conflicts += union.Conflicts()
 	for _, reader := range union.Readers() {
 		damages, more := reader.Damages()
-		c.result.More += more
+		c.result.OmittedDamages += more
 		for _, d := range damages {
 			if len(c.result.Damages) >= maxDamages {
-				c.result.More++
+				c.result.OmittedDamages++
 				continue
 			}
 			c.result.Damages = append(c.result.Damages, Damage{reader.Dir(), d})
