--- a/internal/svg/svg.go
+++ b/internal/svg/svg.go
@@ -1,5 +1,5 @@
-// Package svg renders gonum plots as SVG elements for HTML pages. It owns the default font of plots and nothing of
-// their content.
+// Package svg renders gonum plots as SVG elements for HTML pages. It sets the default font of plots; their content is
+// up to the caller.
 package svg
 
 import (
@@ -14,10 +14,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// init sets the font of plots to that of the pages; a browser without it takes its own substitute.
+// init sets the font of plots to that of the pages; a browser that does not have it substitutes another.
 func init() { plot.DefaultFont = font.Font{Typeface: "Liberation", Variant: "Sans"} }
 
-// elementStart is the begin of the SVG element in an SVG document.
+// elementStart begins the SVG element in an SVG document.
 var elementStart = []byte("<svg")
 
 // Draw renders a plot of the given size as an SVG element, without the prolog of an SVG document.
