--- a/internal/console/aggregate.go
+++ b/internal/console/aggregate.go
@@ -13,7 +13,7 @@
 	WithoutRates int // instances that are left out of Rates because theirs are not known
 }
 
-// Totals sums up the instances. Instances that have ended have no rates and do not count as left out.
+// Totals returns the sums over the instances. Instances that have ended have no rates and do not count as left out.
 func (s *Snapshot) Totals() Totals {
 	var t Totals
 	for i := range s.Instances {
@@ -71,7 +71,7 @@
 	return count
 }
 
-// Servers merges what the instances know of each server, in the order of the names.
+// Servers merges the state of each server over the instances, in the order of the names.
 func (s *Snapshot) Servers() []Server {
 	merged := make(map[string]*Server)
 	for _, instance := range s.Instances {
@@ -88,7 +88,7 @@
 	return sortedByName(merged)
 }
 
-// merge adds what one more instance knows of the server. The rate limit becomes the sum of those that are set.
+// merge adds the state of the server at one more instance. The rate limit becomes the sum of those that are set.
 func (s *Server) merge(part *Server) {
 	s.KnownBy++
 	if part.Phase != phaseActive {
--- a/internal/console/audit.go
+++ b/internal/console/audit.go
@@ -12,8 +12,8 @@
 // rootTermination addresses an agent or an instance as a whole.
 const rootTermination = "ROOT"
 
-// Names of the nodes and properties that an instance reports. Their words are those of the wire; docs/glossary.md maps
-// them to the terms used in the code.
+// Names of the nodes and properties that an instance reports, as they are on the wire; docs/glossary.md maps them to
+// the terms used in the code.
 const (
 	classNode      = "oc/class"
 	serverNode     = "oc/server"
@@ -24,7 +24,7 @@
 // outOfService is the service state of an instance that shuts down.
 const outOfService = "OutOfService"
 
-// A ListedInstance is an instance as its agent lists it. The agent reports all parts as text.
+// A ListedInstance is an instance as its agent lists it. The agent reports all properties as text.
 type ListedInstance struct {
 	Name   string `json:"name"`
 	State  State  `json:"state"`
@@ -62,7 +62,7 @@
 
 // An InstanceAudit is what an instance reports about itself.
 type InstanceAudit struct {
-	ServiceState string     // "InService" or "OutOfService", as the reply has it
+	ServiceState string     // "InService" or "OutOfService", as in the reply
 	Statistics   *h248.Node // counters; nil if the reply has none
 }
 
@@ -84,8 +84,8 @@
 	return h248.Find(reply.Descriptors, h248.DescriptorStatistics)
 }
 
-// applyTo sets the figures of an instance. Counts that the reply does not have become 0; without any statistics the
-// totals keep their values.
+// applyTo sets the data of an instance from the reply. Counts that are missing in the reply become 0; without any
+// statistics the totals keep their values.
 func (a *InstanceAudit) applyTo(i *Instance) {
 	if a.ServiceState == outOfService {
 		i.State = StateStopping
--- a/internal/console/callhistory.go
+++ b/internal/console/callhistory.go
@@ -25,7 +25,7 @@
 
 func newCallHistory() callHistory { return callHistory{calls: make(map[string]*Call)} }
 
-// add adds a record to its call.
+// add applies a record to its call.
 func (c *callHistory) add(instance string, h *record.Header, r *record.Record) {
 	call := c.call(instance, r)
 	switch r.Kind {
@@ -47,7 +47,7 @@
 	}
 }
 
-// call returns the call of a record. A call that is not known yet replaces the oldest if there are too many.
+// call returns the call of a record. A new call evicts the oldest one if there are too many.
 func (c *callHistory) call(instance string, r *record.Record) *Call {
 	call := &Call{ID: r.Call, Instance: instance, At: record.Unix(r.At), Outcome: outcomeOpen}
 	key := call.key()
--- a/internal/console/cell.go
+++ b/internal/console/cell.go
@@ -12,13 +12,13 @@
 	"olivedale/internal/record"
 )
 
-// clockFormat is how a table shows the time of day.
+// clockFormat is the format of the time of day in tables.
 const clockFormat = "15:04:05.000"
 
-// shortDigestLength is the length at which operators compare digests.
+// shortDigestLength is the number of characters of a digest that are shown, which is the length that operators compare.
 const shortDigestLength = 8
 
-// maxDecimalRate is the rate up to which a decimal is shown.
+// maxDecimalRate is the rate below which a decimal is shown.
 const maxDecimalRate = 9.95
 
 // A cell is one text of a table with its sort key.
@@ -35,7 +35,7 @@
 // intCell shows a count that must not be negative.
 func intCell(n int) cell { return countCell(uint64(max(n, 0))) }
 
-// rateCell shows a rate. A rate that is not known is a dash, and sorted as the lowest.
+// rateCell shows a rate. An unknown rate is shown as a dash and sorted as the lowest.
 func rateCell(rate float64) cell {
 	switch {
 	case math.IsNaN(rate):
@@ -51,7 +51,7 @@
 // faultCountCell shows a count that is marked unless it is 0.
 func faultCountCell(n uint64) cell { return countCell(n).markedIf(n > 0) }
 
-// faultRateCell shows a rate that is marked unless it is 0 or not known.
+// faultRateCell shows a rate that is marked unless it is 0 or unknown.
 func faultRateCell(rate float64) cell { return rateCell(rate).markedIf(rate > 0) }
 
 func timeCell(at time.Time) cell {
@@ -66,7 +66,7 @@
 	return c
 }
 
-// formatAge formats how long ago something was, to two units.
+// formatAge formats an age in at most two units.
 func formatAge(age time.Duration) string {
 	switch {
 	case age < 0:
@@ -79,10 +79,10 @@
 	return fmt.Sprintf("%dh%02dm", int(age.Hours()), int(age.Minutes())%60)
 }
 
-// shortDigest returns the part of a digest by which operators recognize it.
+// shortDigest returns the part of a digest that is shown to operators.
 func shortDigest(digest string) string { return digest[:min(len(digest), shortDigestLength)] }
 
-// An alignment is the side of its column to which a text is moved.
+// An alignment is the side of a column to which its texts are aligned.
 type alignment int
 
 // The alignments.
@@ -99,7 +99,7 @@
 	return "right"
 }
 
-// fit returns a text with exactly that display width. A longer text is truncated and ends with a tilde.
+// fit pads or truncates a text to a display width. A truncated text ends with a tilde.
 func fit(s string, width int, align alignment) string {
 	if lipgloss.Width(s) > width {
 		s = truncate(s, width)
--- a/internal/console/counts.go
+++ b/internal/console/counts.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Counts are numbers of calls, and of attempts, since the start of an instance. The keys of the JSON form keep their
-// first names; docs/glossary.md maps them to the terms used in the code.
+// Counts are numbers of calls, and of attempts, since the start of an instance. The keys of the JSON form are an
+// interface and keep the older terms; docs/glossary.md maps them to the terms used in the code.
 type Counts struct {
 	Offered     uint64 `json:"offered"`
 	Established uint64 `json:"stood"`
@@ -34,8 +34,8 @@
 	return c.Offered < earlier.Offered || c.Attempts < earlier.Attempts || c.Established < earlier.Established
 }
 
-// Rates are numbers of calls, and of attempts, a second. A rate that is not known is NaN: in the first snapshot, after
-// a restart, and after a gap in the records.
+// Rates are numbers of calls, and of attempts, per second. An unknown rate is NaN: in the first snapshot, after a
+// restart, and after a gap in the records.
 type Rates struct {
 	Offered     float64
 	Established float64
@@ -45,13 +45,13 @@
 	Attempts    float64
 }
 
-// unknownRates returns rates that are not known.
+// unknownRates returns rates that are all NaN.
 func unknownRates() Rates {
 	nan := math.NaN()
 	return Rates{Offered: nan, Established: nan, Rejected: nan, Failed: nan, Dropped: nan, Attempts: nan}
 }
 
-// ratesBetween returns the rates between two counts. They are not known if no time passed or the instance restarted.
+// ratesBetween returns the rates between two counts. They are unknown if no time passed or the instance restarted.
 func ratesBetween(earlier, later Counts, elapsed time.Duration) Rates {
 	if elapsed <= 0 || later.hasRestarted(earlier) {
 		return unknownRates()
@@ -69,7 +69,7 @@
 	}
 }
 
-// plus returns the sum of rates. It is not known if a part of it is not known.
+// plus returns the sum of rates. A sum is unknown if one of its rates is.
 func (r Rates) plus(other Rates) Rates {
 	return Rates{
 		Offered:     r.Offered + other.Offered,
--- a/internal/console/event.go
+++ b/internal/console/event.go
@@ -8,8 +8,8 @@
 // maxEvents bounds the events of a snapshot.
 const maxEvents = 200
 
-// EventKind says what happened. Beside the kinds below it is the new State of an instance or the new Phase of a server.
-// The texts are part of the JSON form and keep their first wording.
+// EventKind is the kind of an event. Besides the kinds below it may be the new State of an instance or the new Phase of
+// a server. The texts are values in the JSON form, so their wording does not change.
 type EventKind string
 
 // The kinds of events.
--- a/internal/console/json.go
+++ b/internal/console/json.go
@@ -8,9 +8,9 @@
 )
 
 // The types of this file define the JSON form of a snapshot. Their keys are an interface to operators' scripts and keep
-// their first names; docs/glossary.md maps them to the terms used in the code.
+// the older terms; docs/glossary.md maps them to the terms used in the code.
 
-// jsonNumber is a number that is null in JSON if it is not known (NaN) or unlimited (Inf).
+// jsonNumber is a number that is null in JSON if it is unknown (NaN) or unlimited (Inf).
 type jsonNumber float64
 
 // MarshalJSON implements json.Marshaler.
@@ -35,7 +35,7 @@
 	Events       []jsonEvent    `json:"events"`
 }
 
-// jsonRates are rates a second.
+// jsonRates are rates per second.
 type jsonRates struct {
 	Offered     jsonNumber `json:"offered"`
 	Established jsonNumber `json:"stood"`
@@ -96,8 +96,8 @@
 	IsFault  bool      `json:"bad"`
 }
 
-// WriteJSON writes the snapshot as one JSON object. Rates that are not known and rate limits that are not set are null.
-// It fails only if w does.
+// WriteJSON writes the snapshot as one JSON object. Unknown rates and rate limits that are not set are null. It fails
+// only if w does.
 func (s *Snapshot) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -3,7 +3,7 @@
 import tea "charm.land/bubbletea/v2"
 
 const (
-	// speedStep is the factor by which one key changes the speed of a replay.
+	// speedStep is the factor by which one key press changes the speed of a replay.
 	speedStep = 2
 	// maxFilterLength bounds the filter, in bytes.
 	maxFilterLength = 40
@@ -94,7 +94,7 @@
 	}
 }
 
-// sortByNextColumn sorts by the next column on the screen; after the last one the order is the natural one.
+// sortByNextColumn sorts by the next column on the screen; after the last column it returns to the natural order.
 func (m *Model) sortByNextColumn(t *table) {
 	order := &m.location.order
 	order.column++
@@ -140,7 +140,7 @@
 	m.history = nil
 }
 
-// openRow shows what the selected row leads to.
+// openRow shows the details of the selected row.
 func (m *Model) openRow(t *table) {
 	if m.location.row >= t.rowCount() {
 		return
@@ -167,7 +167,7 @@
 	m.history = m.history[:last]
 }
 
-// clampSelection keeps the selected row within the table that the key was pressed in.
+// clampSelection keeps the selected row within the table that was shown when the key was pressed.
 func (m *Model) clampSelection(t *table) {
 	m.location.row = max(min(m.location.row, t.rowCount()-1), 0)
 	if m.location.view == viewCall {
--- a/internal/console/kinds.go
+++ b/internal/console/kinds.go
@@ -8,13 +8,13 @@
 	"olivedale/internal/record"
 )
 
-// Parts of the configuration that a KindConfig record names in By.
+// Values of By in a KindConfig record: the part of the configuration that it is about.
 const (
 	configClass     = "class"
 	configNumbering = "numbers"
 )
 
-// Ends of established calls that a KindRelease record names in End and that are faults.
+// Values of End in a KindRelease record that mean that an established call was dropped.
 const (
 	endDropped        = "cut"
 	endConnectionLost = "exchange_lost"
@@ -32,7 +32,7 @@
 		t.addEvent(i, r, Event{Kind: EventStopping, Text: "SIGTERM"})
 	case record.KindEnd:
 		i.State = StateEnded
-		t.addEvent(i, r, Event{Kind: EventEnded, Text: "in good order"})
+		t.addEvent(i, r, Event{Kind: EventEnded, Text: "orderly shutdown"})
 	case record.KindConfig:
 		t.applyConfig(i, r)
 	case record.KindCallOffered:
@@ -104,7 +104,7 @@
 	}
 }
 
-// countAnswer returns what one final answer adds to the counts.
+// countAnswer returns the counts that one final answer adds.
 func (i *trackedInstance) countAnswer(r *record.Record) Counts {
 	switch record.Outcome(r.Code) {
 	case record.OutcomeEstablished:
@@ -160,7 +160,7 @@
 	}
 }
 
-// applyClock adds an event if the wall clock of an instance has been set. Readings of other clocks are ignored.
+// applyClock adds an event if the wall clock of an instance was set. Comparisons with the clocks of peers are ignored.
 func (t *tracker) applyClock(i *trackedInstance, r *record.Record) {
 	isOwnClock := r.By == "" && r.T[1] != 0
 	if !isOwnClock {
--- a/internal/console/model.go
+++ b/internal/console/model.go
@@ -6,7 +6,7 @@
 	tea "charm.land/bubbletea/v2"
 )
 
-// The size of the terminal until it is known, and the smallest that is drawn for.
+// The assumed size of the terminal until it is known, and the smallest size that the screen is laid out for.
 const (
 	defaultWidth  = 80
 	defaultHeight = 24
@@ -22,7 +22,7 @@
 	snapshot        *Snapshot
 	err             error
 	location        location
-	history         []location // where esc returns to, the last first to be left
+	history         []location // locations to which esc returns, the latest last
 	isTypingFilter  bool
 	isHelpShown     bool
 	width           int
@@ -35,7 +35,7 @@
 	err      error
 }
 
-// NewModel returns the console of a source. It reads the source until ctx is done.
+// NewModel returns a console that reads a source until ctx is done.
 func NewModel(ctx context.Context, src Source) Model {
 	m := Model{location: newLocation(viewFleet), width: defaultWidth, height: defaultHeight}
 	m.player, _ = src.(Player)
@@ -71,7 +71,7 @@
 	return m, nil
 }
 
-// table returns the table of the location, nil if it shows none.
+// table returns the table of the location, nil if it has none.
 func (m *Model) table() *table {
 	if m.snapshot == nil {
 		return nil
--- a/internal/console/poller.go
+++ b/internal/console/poller.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxConnections bounds the instances of one agent that are polled at a time.
+	// maxConnections bounds the instances of one agent that are polled concurrently.
 	maxConnections = 16
-	// minPollTimeout bounds the replies of one poll from below; a longer interval is the limit itself.
+	// minPollTimeout is the timeout of a poll if the interval is shorter; otherwise the interval is the timeout.
 	minPollTimeout = time.Second
-	// instanceRetention is how long the figures of an instance that its agent no longer lists are kept.
+	// instanceRetention is how long the last data of an instance is kept after its agent stops listing it.
 	instanceRetention = time.Hour
 )
 
@@ -23,7 +23,7 @@
 	agents []string
 	pacer  pacer
 	rates  rateCalculator
-	known  map[instanceKey]Instance // the last figures; not written while a poll is in progress
+	known  map[instanceKey]Instance // last data of each instance; not written while a poll is in progress
 	events eventLog
 }
 
@@ -35,8 +35,8 @@
 // Close implements Source.
 func (*Poller) Close() error { return nil }
 
-// Next implements Source. An agent or instance that does not answer is no error: its instances are unresponsive in the
-// snapshot, with their last figures.
+// Next implements Source. An agent or instance that does not answer is not an error: its instances are shown as
+// unresponsive in the snapshot, with their last data.
 func (p *Poller) Next(ctx context.Context) (*Snapshot, error) {
 	if err := p.pacer.wait(ctx); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	return all
 }
 
-// unresponsiveInstances returns the known instances of an agent that does not answer, or one that stands for the agent.
+// unresponsiveInstances returns the known instances of an agent that does not answer, or a placeholder for the agent.
 func (p *Poller) unresponsiveInstances(agent string, err error) []Instance {
 	var all []Instance
 	for _, i := range p.known {
@@ -124,7 +124,7 @@
 	return all
 }
 
-// pollInstance returns the figures of one instance. An instance that cannot be polled keeps its last figures.
+// pollInstance returns the data of one instance. An instance that cannot be polled keeps its last data.
 func (p *Poller) pollInstance(ctx context.Context, agent string, entry ListedInstance) Instance {
 	instance := p.known[instanceKey{agent: agent, name: entry.Name}]
 	instance.Name = entry.Name
--- a/internal/console/poller_test.go
+++ b/internal/console/poller_test.go
@@ -28,7 +28,7 @@
 	return []*h248.Node{{Name: "Statistics", Children: nodes}}
 }
 
-// newInstanceHandler returns a fake instance with ten more established calls at each request.
+// newInstanceHandler returns a fake instance that reports ten more established calls at each request.
 func newInstanceHandler() adminapi.Handler {
 	established := 0
 	server := &h248.Node{Name: "oc/server", Children: []*h248.Node{
@@ -47,7 +47,7 @@
 	}
 }
 
-// newAgentHandler returns a fake agent with the running instance n0.
+// newAgentHandler returns a fake agent that lists the running instance n0.
 func newAgentHandler(admin string) adminapi.Handler {
 	instance := &h248.Node{Name: "oa/instance", Children: []*h248.Node{
 		{Name: "name", Value: "n0", Quoted: true},
@@ -58,8 +58,8 @@
 	return func(*h248.Command) ([]*h248.Node, *h248.Error) { return newStatistics(instance), nil }
 }
 
-// An instance that stops answering is shown as unresponsive with the age of its figures; so are all instances of an
-// agent that stops answering.
+// An instance that stops answering is shown as unresponsive with the age of its data; so are all instances of an agent
+// that stops answering.
 func TestPollerShowsUnresponsiveInstances(t *testing.T) {
 	admin, instance := serveAdmin(t, newInstanceHandler())
 	addr, agent := serveAdmin(t, newAgentHandler(admin))
--- a/internal/console/rates.go
+++ b/internal/console/rates.go
@@ -34,11 +34,11 @@
 	})
 }
 
-// applyToInstance sets the rates of an instance and returns what the next snapshot is compared with.
+// applyToInstance sets the rates of an instance and returns the data with which the next snapshot is compared.
 func (r *rateCalculator) applyToInstance(i *Instance) Instance {
 	earlier, isKnown := r.previous[i.key()]
 	elapsed := i.Seen.Sub(earlier.Seen)
-	if isKnown && elapsed <= 0 { // no new figures: the rates stay, and their age is shown
+	if isKnown && elapsed <= 0 { // no new data: the rates stay, and their age is shown
 		i.Rates = earlier.Rates
 		copy(i.Classes, earlier.Classes)
 		copy(i.Servers, earlier.Servers)
--- a/internal/console/rates_test.go
+++ b/internal/console/rates_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("20 in 2 s: %v", v)
 	}
 	if v := offeredRate(30, 1, 0, false); v != 10 {
-		t.Errorf("no new figures: %v", v)
+		t.Errorf("no new data: %v", v)
 	}
 	if v := offeredRate(5, 2, time.Second, false); !math.IsNaN(v) {
 		t.Errorf("after a restart: %v", v)
--- a/internal/console/recordreader.go
+++ b/internal/console/recordreader.go
@@ -9,10 +9,10 @@
 	"olivedale/internal/record"
 )
 
-// noTimeLimit makes advance read all records that there are.
+// noTimeLimit makes advance read all available records.
 const noTimeLimit = record.Time(math.MaxInt64)
 
-// recordsPerContextCheck is how many records are read between two checks of the context.
+// recordsPerContextCheck is the number of records that are read between two checks of the context.
 const recordsPerContextCheck = 4096
 
 // A recordReader feeds the records of stores to a tracker in the order of their times. It reads one record ahead.
@@ -34,8 +34,8 @@
 
 func (r *recordReader) close() error { return r.merger.Close() }
 
-// peek reads the next record unless it is read already. At the end of the stores hasNext stays false, and the error is
-// nil.
+// peek reads the next record ahead unless that is done already. At the end of the stores hasNext stays false and the
+// error is nil.
 func (r *recordReader) peek() error {
 	if r.hasNext {
 		return nil
--- a/internal/console/replay.go
+++ b/internal/console/replay.go
@@ -8,20 +8,20 @@
 	"olivedale/internal/record"
 )
 
-// A Replay is a Source that plays recorded stores at a speed. It is a Player too.
+// A Replay is a Source that replays the records of stores at an adjustable speed. It also implements Player.
 type Replay struct {
 	reader   *recordReader
 	rates    rateCalculator
 	pacer    pacer
-	position record.Time // records up to this time have been played
+	position record.Time // records up to this time have been replayed
 
 	mu       sync.Mutex // guards the fields below
 	speed    float64
 	isPaused bool
 }
 
-// NewReplay opens stores to play them from a time on; 0 is the time of the first record. It returns an error if one of
-// them cannot be opened.
+// NewReplay opens stores to replay them from a time on; 0 means the time of the first record. It returns an error if
+// one of them cannot be opened.
 func NewReplay(
 	stores []record.Store, start record.Time, speed float64, interval time.Duration,
 ) (*Replay, error) {
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// movePosition moves the position by one interval; the first time it finds the start of the replay.
+// movePosition moves the position by one interval; the first time it sets it to the start of the replay.
 func (r *Replay) movePosition(speed float64) {
 	switch {
 	case r.pacer.hasFirst:
--- a/internal/console/screen.go
+++ b/internal/console/screen.go
@@ -17,11 +17,11 @@
 	faultStyle    = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
 )
 
-// linesAroundRows are the lines of the screen that a table's rows do not have: the summary, the tabs, the headings, the
-// problem of an instance, and the footer.
+// linesAroundRows is the number of lines that are not available for the rows of a table: the summary, the tabs, the
+// headings, the problem of an instance, and the footer.
 const linesAroundRows = 5
 
-// continuationIndent is how far the further lines of a long record are indented.
+// continuationIndent is the indentation of the continuation lines of a long record.
 const continuationIndent = 4
 
 // View implements tea.Model.
@@ -32,10 +32,10 @@
 	return v
 }
 
-// lines returns the screen, as many lines as it has.
+// lines returns the lines of the screen, exactly as many as its height once there is a snapshot.
 func (m *Model) lines() []string {
 	if m.snapshot == nil {
-		return []string{"waiting for the first figures ..."}
+		return []string{"waiting for the first data ..."}
 	}
 	lines := []string{m.summaryLine(), m.tabLine()}
 	lines = append(lines, m.body()...)
@@ -46,7 +46,7 @@
 	return append(lines, faintStyle.Render(m.fitLine(m.footer())))
 }
 
-// fitLine returns a text that fills a line but for its last column, in which some terminals wrap.
+// fitLine fits a text to the width of the screen without the last column, in which some terminals wrap.
 func (m *Model) fitLine(s string) string { return fit(s, m.width-1, alignLeft) }
 
 // visibleRows returns how many rows of a table fit.
@@ -140,7 +140,7 @@
 	return i.Problem
 }
 
-// emptyText says why a table has no rows.
+// emptyText returns the reason why a table has no rows.
 func (m *Model) emptyText() string {
 	isCallTable := m.location.view == viewCalls || m.location.view == viewServer
 	switch {
@@ -169,7 +169,7 @@
 	return lines
 }
 
-// wrap breaks a text into lines of at most width characters. Further lines are indented.
+// wrap breaks a text into lines of at most width characters. Continuation lines are indented.
 func wrap(text string, width int) []string {
 	var lines []string
 	rest := []rune(text)
--- a/internal/console/snapshot.go
+++ b/internal/console/snapshot.go
@@ -17,7 +17,7 @@
 	StateStopping     State = "stopping" // as the instance reports it
 	StateEnded        State = "ended"
 	StateKilled       State = "killed"
-	StateUnresponsive State = "silent" // it does not answer; the figures are those of the time Seen
+	StateUnresponsive State = "silent" // it does not answer; its data is that of the time Seen
 )
 
 // String implements fmt.Stringer.
@@ -41,18 +41,18 @@
 // An Instance is one call controller.
 type Instance struct {
 	Name             string
-	Agent            string // address of its agent, "" if the figures come from records
+	Agent            string // address of its agent, "" if the data comes from records
 	State            State
 	Problem          string // why the instance could not be polled, "" if it could
 	PID              string
 	Starts           int
-	Seen             time.Time // when the figures were valid
+	Seen             time.Time // the time to which the data refers
 	Total            Counts
 	Rates            Rates
 	OpenCalls        int
 	EstablishedCalls int
 	LostRecords      uint64
-	NumberingDigest  string // of the numbering table in force, "" if there is none or it is not known
+	NumberingDigest  string // of the numbering table in force, "" if there is none or it is unknown
 	HasGap           bool   // records are lost shortly before Seen
 	Classes          []Class
 	Servers          []Server
@@ -76,16 +76,16 @@
 	Pool        int
 	Phase       Phase
 	InSlowStart bool
-	RateLimit   float64 // attempts a second, +Inf for no limit
-	LimitedBy   int     // instances that limit their rate, in the view of the fleet
-	KnownBy     int     // instances that know the server, in the view of the fleet
+	RateLimit   float64 // attempts per second, +Inf for no limit
+	LimitedBy   int     // number of instances that limit their rate, in the view of the fleet
+	KnownBy     int     // number of instances that know the server, in the view of the fleet
 	Attempts    uint64
 	Established uint64
 	Dropped     uint64
-	AttemptRate float64 // attempts a second, NaN if not known
+	AttemptRate float64 // attempts per second, NaN if unknown
 }
 
-// A Call is one call as far as its records are known.
+// A Call is one call, as its records describe it so far.
 type Call struct {
 	ID       string
 	Class    string
@@ -104,8 +104,8 @@
 // A Snapshot is the state of a fleet at one time.
 type Snapshot struct {
 	At        time.Time
-	Source    string // where the figures come from, for the operator
-	HasCalls  bool   // the source knows single calls
+	Source    string // origin of the data, for the operator
+	HasCalls  bool   // the source reports individual calls
 	IsReplay  bool
 	Speed     float64 // of a replay; 0 if it is paused
 	AtEnd     bool    // the replay has reached the last record
--- a/internal/console/source.go
+++ b/internal/console/source.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A Source produces snapshots. It belongs to one goroutine.
+// A Source produces snapshots. It is not safe for concurrent use.
 type Source interface {
 	// Next returns the first snapshot at once and each further one an interval after the previous one. It returns
 	// the error of ctx as soon as ctx is done.
@@ -20,7 +20,7 @@
 	ScaleSpeed(factor float64)
 }
 
-// Bounds of the speed of a replay, in seconds of records a second.
+// Bounds of the speed of a replay, in seconds of records per second.
 const (
 	MinSpeed = 1.0 / 16
 	MaxSpeed = 4096
--- a/internal/console/summary.go
+++ b/internal/console/summary.go
@@ -19,11 +19,11 @@
 	"  ctrl+z        suspend",
 	"  q             quit",
 	"",
-	"  A dash is a rate that is not known: at the start, after a restart or a gap.",
-	"  AGE is the age of an instance's figures.",
+	"  A dash is an unknown rate: at the start, after a restart or a gap.",
+	"  AGE is the age of an instance's data.",
 }
 
-// footer returns the keys of the screen and the source.
+// footer returns the keys that the screen accepts and the source of the data.
 func (m *Model) footer() string {
 	keys := "enter open  esc back  s sort  r reverse  / filter  ? help  q quit"
 	switch {
@@ -35,7 +35,7 @@
 	return keys + "   " + m.snapshot.Source
 }
 
-// summaryLine returns the first line of the screen: the state of the fleet in short.
+// summaryLine returns the first line of the screen, a summary of the fleet.
 func (m *Model) summaryLine() string {
 	s := m.snapshot
 	totals := s.Totals()
@@ -51,7 +51,7 @@
 	return headlineStyle.Render(m.fitLine(s.timeText() + s.instancesText() + rates))
 }
 
-// timeText returns the time of the snapshot and how a replay runs.
+// timeText returns the time of the snapshot and, for a replay, its speed or that it is paused or at the end.
 func (s *Snapshot) timeText() string {
 	if !s.IsReplay {
 		return s.At.Format(time.TimeOnly)
--- a/internal/console/table.go
+++ b/internal/console/table.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// minPartialWidth is the width from which a text column that does not fit is shown in part.
+// minPartialWidth is the least width in which a text column that does not fit is shown in part.
 const minPartialWidth = 10
 
 // unsorted is the sort column of a table whose rows stay in their natural order.
@@ -19,7 +19,7 @@
 	cell   func(*T) cell
 }
 
-// A columnLayout is what is the same for all rows of a column.
+// A columnLayout holds the heading, the width and the alignment of a column.
 type columnLayout struct {
 	heading string
 	width   int
@@ -36,7 +36,7 @@
 
 // A row is one line of a table.
 type row struct {
-	name  string // by which the row is selected
+	name  string // identifies the row when it is opened
 	cells []cell
 }
 
@@ -80,7 +80,7 @@
 	t.rows = slices.DeleteFunc(t.rows, func(r row) bool { return !slices.ContainsFunc(r.cells, matches) })
 }
 
-// A sortOrder says by which column the rows of a table are sorted.
+// A sortOrder is the column by which the rows of a table are sorted, and the direction.
 type sortOrder struct {
 	column     int // unsorted: the natural order
 	isReversed bool
@@ -147,7 +147,7 @@
 	return strings.Join(parts, " ")
 }
 
-// headingLine returns the headings. That of the sort column is marked with the direction.
+// headingLine returns the headings. The sort column is marked with the direction.
 func (t *table) headingLine(width int, order sortOrder) string {
 	cells := make([]cell, len(t.columns))
 	for i, c := range t.columns {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// maxFreshAge is the age from which the figures of a running instance are marked.
+// maxFreshAge is the age above which the data of an instance is marked, unless the instance has ended.
 const maxFreshAge = 10 * time.Second
 
-// numberingColumnIndex is where the fleet table has its column of numbering tables, if there are any.
+// numberingColumnIndex is the index of the column of numbering tables in the fleet table, if there are any.
 const numberingColumnIndex = 3
 
 // fleetTable returns a row for each instance.
@@ -54,7 +54,7 @@
 	return ageCell(age).markedIf(age > maxFreshAge && i.State != StateEnded)
 }
 
-// A serverScope is whose view of the servers a table shows.
+// A serverScope says whether a table shows the servers as the fleet or as one instance knows them.
 type serverScope int
 
 // The scopes of a server table.
@@ -170,7 +170,8 @@
 	return cell{text: fmt.Sprintf("%.1fms", milliseconds), key: c.Took.Seconds()}
 }
 
-// faultlessOutcomes are how outcomes begin that are no fault: an open call, an established one, and its normal ends.
+// faultlessOutcomes are the outcomes, and the prefixes of outcomes, that are no fault: an open call, an established
+// call, and its normal ends.
 var faultlessOutcomes = struct{ whole, prefixes []string }{
 	whole:    []string{outcomeOpen, "stood"},
 	prefixes: []string{"stood, completed", "stood, caller"},
--- a/internal/console/terminal_test.go
+++ b/internal/console/terminal_test.go
@@ -33,7 +33,7 @@
 	return &Snapshot{At: time.Unix(0, 0)}, nil
 }
 
-// lockedBuffer is a buffer for several goroutines.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/console/tracker.go
+++ b/internal/console/tracker.go
@@ -7,17 +7,17 @@
 	"olivedale/internal/record"
 )
 
-// Bounds of what a tracker keeps. Records beyond them count in the totals only.
+// Bounds of the data that a tracker keeps. Records of classes and servers beyond the bounds count in the totals only.
 const (
 	maxInstances      = 4096
-	maxServers        = 1024    // of an instance
-	maxClasses        = 64      // of an instance
-	maxOpenCalls      = 1 << 18 // of an instance
-	gapDisplayPeriod  = 2 * time.Second
-	maxClockDeviation = time.Second // of the wall clock from the monotonic clock, beyond which it has been set
+	maxServers        = 1024            // of an instance
+	maxClasses        = 64              // of an instance
+	maxOpenCalls      = 1 << 18         // of an instance
+	gapDisplayPeriod  = 2 * time.Second // for which a gap is shown after its end
+	maxClockDeviation = time.Second     // of the wall clock from the monotonic clock, beyond which it has been set
 )
 
-// A tracker keeps the state of the fleet that the records applied so far describe.
+// A tracker keeps the state of the fleet according to the records that were applied so far.
 type tracker struct {
 	latest    record.Time // of all records
 	instances map[string]*trackedInstance
@@ -26,12 +26,12 @@
 	calls     callHistory
 }
 
-// A trackedInstance is the state of one instance. What belongs to one run is cleared at a restart.
+// A trackedInstance is the state of one instance. The state of a run is cleared at a restart.
 type trackedInstance struct {
 	Instance
 	bootID     uint64
 	latest     record.Time
-	gapAt      record.Time // when the last gap ended, 0 for never
+	gapAt      record.Time // end of the last gap, 0 if there was none
 	objectives map[string]time.Duration
 	run        run
 }
@@ -93,7 +93,7 @@
 func (t *tracker) restart(i *trackedInstance, bootID uint64, r *record.Record) {
 	isFirstRun := i.bootID == 0
 	if !isFirstRun && i.State != StateEnded {
-		t.addEvent(i, r, Event{Kind: EventCrashed, Text: "it has started anew", IsFault: true})
+		t.addEvent(i, r, Event{Kind: EventCrashed, Text: "it has restarted", IsFault: true})
 	}
 	i.bootID = bootID
 	i.State = StateRunning
@@ -110,7 +110,7 @@
 	t.events.add(e)
 }
 
-// class returns the counts of a class. Those of a class over the limit are not kept.
+// class returns the counts of a class. The counts of a class over the limit are not kept.
 func (i *trackedInstance) class(name string) *Class {
 	if c := i.run.classes[name]; c != nil {
 		return c
@@ -122,7 +122,7 @@
 	return c
 }
 
-// server returns the state of a server. That of a server over the limit is not kept.
+// server returns the state of a server. The state of a server over the limit is not kept.
 func (i *trackedInstance) server(name string) *Server {
 	if s := i.run.servers[name]; s != nil {
 		return s
@@ -134,7 +134,7 @@
 	return s
 }
 
-// snapshot returns the state as a copy that later records do not change.
+// snapshot returns a copy of the state that later records do not change.
 func (t *tracker) snapshot() *Snapshot {
 	s := &Snapshot{At: record.Unix(t.latest), HasCalls: true, Events: t.events.latest(), Calls: t.calls.latest()}
 	for _, name := range t.order {
--- a/internal/console/tracker_test.go
+++ b/internal/console/tracker_test.go
@@ -8,7 +8,7 @@
 	"olivedale/internal/record"
 )
 
-// trackerAt is when the records of these tests begin.
+// trackerAt is the time at which the records of these tests begin.
 const trackerAt = record.Time(time.Hour)
 
 // applyAll applies records of one run of n0, a millisecond apart.
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -1,7 +1,7 @@
 package console
 
-// A view is a kind of screen. From the fleet the operator goes to an instance, from there to a server, and from there
-// to the records of a call.
+// A view is a kind of screen. The operator opens an instance from the fleet, a server from the instance, and the
+// records of a call from the server.
 type view int
 
 // The views.
@@ -33,10 +33,10 @@
 // String implements fmt.Stringer.
 func (v view) String() string { return viewNames[v] }
 
-// nextTab returns the view of the next tab. After the last tab, and from a view without one, it is the first.
+// nextTab returns the view of the next tab. After the last tab, and from a view without a tab, it returns the first.
 func (v view) nextTab() view { return (min(v, viewCalls) + 1) % view(tabCount) }
 
-// A location is a view with its subject and its settings.
+// A location is a view with the subject that it shows, the selected row, and the settings of its table.
 type location struct {
 	view     view
 	instance string // "" for the fleet
@@ -50,7 +50,7 @@
 // newLocation returns a view without a subject, in its natural order.
 func newLocation(v view) location { return location{view: v, order: sortOrder{column: unsorted}} }
 
-// subject describes what the view is about, "" for a view of the whole fleet.
+// subject returns a description of the view's subject, "" for a view of the whole fleet.
 func (l *location) subject() string {
 	switch l.view {
 	case viewInstance:
@@ -67,7 +67,7 @@
 	}
 }
 
-// open returns the location that a row leads to. It reports false if the view's rows lead nowhere.
+// open returns the location that shows the details of a row. It reports false if the rows of the view have none.
 func (l *location) open(name string) (location, bool) {
 	next := newLocation(l.view)
 	next.instance = l.instance
@@ -145,7 +145,7 @@
 	return calls
 }
 
-// call returns the call with a key, nil if it is not known.
+// call returns the call with a key, nil if there is none.
 func (s *Snapshot) call(key string) *Call {
 	for i := range s.Calls {
 		if s.Calls[i].key() == key {
