--- a/internal/console/replay_test.go
+++ b/internal/console/replay_test.go
@@ -48,7 +48,7 @@
 func countOffers(t *testing.T) map[string]uint64 {
 	t.Helper()
 	offers := make(map[string]uint64)
-	bootIDs := make(map[string]uint64)
+	runIDs := make(map[string]uint64)
 	m, err := record.OpenStores(findIncidentStores(t))
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 	var r record.Record
 	var h record.Header
 	for m.Next(&r, &h) == nil {
-		if bootIDs[h.Name] != h.RunID {
-			bootIDs[h.Name] = h.RunID
+		if runIDs[h.Name] != h.RunID {
+			runIDs[h.Name] = h.RunID
 			offers[h.Name] = 0
 		}
 		if r.Kind == record.KindCallOffered {
--- a/internal/console/tracker.go
+++ b/internal/console/tracker.go
@@ -29,7 +29,7 @@
 // A trackedInstance is the state of one instance. The state of a run is cleared at a restart.
 type trackedInstance struct {
 	Instance
-	bootID     uint64
+	runID      uint64
 	latest     record.Time
 	gapAt      record.Time // end of the last gap, 0 if there was none
 	objectives map[string]time.Duration
@@ -61,7 +61,7 @@
 	if i == nil {
 		return
 	}
-	if i.bootID != h.RunID {
+	if i.runID != h.RunID {
 		t.restart(i, h.RunID, r)
 	}
 	i.latest = max(i.latest, r.At)
@@ -90,12 +90,12 @@
 }
 
 // restart begins a new run of an instance.
-func (t *tracker) restart(i *trackedInstance, bootID uint64, r *record.Record) {
-	isFirstRun := i.bootID == 0
+func (t *tracker) restart(i *trackedInstance, runID uint64, r *record.Record) {
+	isFirstRun := i.runID == 0
 	if !isFirstRun && i.State != StateEnded {
 		t.addEvent(i, r, Event{Kind: EventCrashed, Text: "it has restarted", IsFault: true})
 	}
-	i.bootID = bootID
+	i.runID = runID
 	i.State = StateRunning
 	i.Total = Counts{}
 	i.EstablishedCalls = 0
--- a/internal/console/tracker_test.go
+++ b/internal/console/tracker_test.go
@@ -12,8 +12,8 @@
 const trackerAt = record.Time(time.Hour)
 
 // applyAll applies records of one run of n0, a millisecond apart.
-func applyAll(t *tracker, bootID uint64, records ...record.Record) {
-	h := &record.Header{Name: "n0", RunID: bootID}
+func applyAll(t *tracker, runID uint64, records ...record.Record) {
+	h := &record.Header{Name: "n0", RunID: runID}
 	for _, r := range records {
 		r.At = max(t.latest, trackerAt) + time.Millisecond
 		t.apply(h, &r)
