--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -59,7 +59,7 @@
 	Lost                uint64
 	UnknownLosses       uint64
 	Incomplete          bool
-	Tallies             map[string]uint64
+	Counters            map[string]uint64
 	Live                bool  // no end record: it is still running, or was killed
 	Sources             []int // Moment.Source of each start
 	Unanswered          uint64
@@ -174,7 +174,7 @@
 		Records:             p.Records,
 		Lost:                p.Lost,
 		UnknownLosses:       p.UnknownLosses,
-		Tallies:             p.Tallies,
+		Counters:            p.Tallies,
 		Live:                p.Unfinished,
 		Incomplete:          p.Lost > 0 || p.UnknownLosses > 0 || p.Unfinished,
 		AnswersWithoutSetup: p.AnswersWithoutSetup,
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -178,7 +178,7 @@
 		t.Errorf("records of a call that its caller released: %s", got)
 	}
 	r := analyzeStores(t, dir)
-	if r.Total.Offered != uint64(c.Requests) || r.Total.Established() != uint64(c.Established) || r.Incomplete || r.Instances[0].Tallies["stood"] != uint64(c.Established) {
+	if r.Total.Offered != uint64(c.Requests) || r.Total.Established() != uint64(c.Established) || r.Incomplete || r.Instances[0].Counters["stood"] != uint64(c.Established) {
 		t.Errorf("the report: %+v", r.Total.Counts)
 	}
 }
