--- a/internal/incident/part.go
+++ b/internal/incident/part.go
@@ -39,7 +39,7 @@
 	Limits              map[string]uint64 // limits that were reached, by name
 	AttemptEnds         map[string]uint64 // attempts, by how they ended
 	Reasons             map[string]uint64 // rejections and failures, by the decision module's reason
-	Tallies             map[string]uint64 // the call manager's own counters, summed over starts
+	Counters            map[string]uint64 // the call manager's own counters, summed over starts
 
 	Starts          []Start
 	Gaps            []Gap
@@ -84,7 +84,7 @@
 		Limits:      make(map[string]uint64),
 		AttemptEnds: make(map[string]uint64),
 		Reasons:     make(map[string]uint64),
-		Tallies:     make(map[string]uint64),
+		Counters:    make(map[string]uint64),
 		classes:     boundedTallies{maxNames: maxClasses},
 		servers:     boundedTallies{maxNames: maxServers},
 		timeline:    timeline{width: initialBinWidth},
@@ -223,7 +223,7 @@
 func (p *Part) addCounter(r *record.Record) {
 	old := p.lastCounters[r.By]
 	p.lastCounters[r.By] = r.Count
-	addBounded(p.Tallies, r.By, r.Count-min(old, r.Count))
+	addBounded(p.Counters, r.By, r.Count-min(old, r.Count))
 }
 
 // addDecision counts the reason of a decision other than to send or wait.
--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -174,7 +174,7 @@
 		Records:             p.Records,
 		Lost:                p.Lost,
 		UnknownLosses:       p.UnknownLosses,
-		Counters:            p.Tallies,
+		Counters:            p.Counters,
 		Live:                p.Unfinished,
 		Incomplete:          p.Lost > 0 || p.UnknownLosses > 0 || p.Unfinished,
 		AnswersWithoutSetup: p.AnswersWithoutSetup,
