--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -187,7 +187,7 @@
 		at += 10 * time.Second
 	}
 	r := Combine([]*Part{f.close()})
-	if i := r.Instances[0]; len(i.Starts) != 4 || i.UnknownLosses != 3 || !i.Incomplete || i.Live || i.Lost != 0 {
+	if i := r.Instances[0]; len(i.Starts) != 4 || i.UnknownLosses != 3 || !i.Incomplete || i.Unfinished || i.Lost != 0 {
 		t.Errorf("%+v", i)
 	}
 	if r.Total.Offered != 8 || r.Total.Answered() != 5 || r.NoAnswer[ReasonKilled] != 3 || len(r.findingsOf(FoundKilled)) != 3 {
--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -60,7 +60,7 @@
 	UnknownLosses       uint64
 	Incomplete          bool
 	Counters            map[string]uint64
-	Live                bool  // no end record: it is still running, or was killed
+	Unfinished          bool  // no end record: it is still running, or was killed
 	Sources             []int // Moment.Source of each start
 	Unanswered          uint64
 	AnswersWithoutSetup uint64
@@ -175,7 +175,7 @@
 		Lost:                p.Lost,
 		UnknownLosses:       p.UnknownLosses,
 		Counters:            p.Counters,
-		Live:                p.Unfinished,
+		Unfinished:          p.Unfinished,
 		Incomplete:          p.Lost > 0 || p.UnknownLosses > 0 || p.Unfinished,
 		AnswersWithoutSetup: p.AnswersWithoutSetup,
 		Reasons:             p.Reasons,
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -192,7 +192,7 @@
 			row.Killed++
 		}
 	}
-	if i.Live {
+	if i.Unfinished {
 		row.End = "none: still running or killed"
 	}
 	return row
--- a/internal/report/json.go
+++ b/internal/report/json.go
@@ -182,7 +182,7 @@
 			Name:        i.Name,
 			Store:       fmt.Sprintf("%016x", i.Store),
 			Incomplete:  i.Incomplete,
-			Live:        i.Live,
+			Live:        i.Unfinished,
 			Starts:      len(i.Starts),
 			Records:     i.Records,
 			Lost:        i.Lost,
