--- a/internal/report/json.go
+++ b/internal/report/json.go
@@ -57,7 +57,7 @@
 	Name        string `json:"name"`
 	Store       string `json:"store"`
 	Incomplete  bool   `json:"at_least"`
-	Live        bool   `json:"without_end"`
+	Unfinished  bool   `json:"without_end"`
 	Starts      int    `json:"starts"`
 	Records     uint64 `json:"records"`
 	Lost        uint64 `json:"lost"`
@@ -182,7 +182,7 @@
 			Name:        i.Name,
 			Store:       fmt.Sprintf("%016x", i.Store),
 			Incomplete:  i.Incomplete,
-			Live:        i.Unfinished,
+			Unfinished:  i.Unfinished,
 			Starts:      len(i.Starts),
 			Records:     i.Records,
 			Lost:        i.Lost,
