--- a/internal/incident/lists.go
+++ b/internal/incident/lists.go
@@ -23,7 +23,7 @@
 // A Ref identifies a record by its instance, run and sequence number.
 type Ref struct {
 	Instance string `json:"instance"`
-	Boot     string `json:"boot"`
+	RunID    string `json:"boot"`
 	Seq      uint64 `json:"seq"`
 }
 
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -219,7 +219,7 @@
 		row.Noticed = append(row.Noticed, formatNotice(notice, i == 0))
 	}
 	for _, ref := range f.Refs {
-		row.Refs = append(row.Refs, fmt.Sprintf("%s/%s/%d", record.Printable(ref.Instance), ref.Boot, ref.Seq))
+		row.Refs = append(row.Refs, fmt.Sprintf("%s/%s/%d", record.Printable(ref.Instance), ref.RunID, ref.Seq))
 	}
 	return row
 }
