--- a/internal/incident/findlosses.go
+++ b/internal/incident/findlosses.go
@@ -32,7 +32,7 @@
 			To:         next,
 			IsFault:    true,
 			Incomplete: true,
-			Refs:       []Ref{{p.Instance, fmt.Sprintf("%016x", s.Boot), 0}},
+			Refs:       []Ref{{p.Instance, fmt.Sprintf("%016x", s.RunID), 0}},
 			Text:       fmt.Sprintf("the last record was written %v before the next start", pause),
 		})
 	}
@@ -50,7 +50,7 @@
 			To:         r.moment(part, g.startIndex, g.Until),
 			IsFault:    true,
 			Incomplete: true,
-			Refs:       []Ref{{p.Instance, fmt.Sprintf("%016x", p.Starts[g.startIndex].Boot), g.To}},
+			Refs:       []Ref{{p.Instance, fmt.Sprintf("%016x", p.Starts[g.startIndex].RunID), g.To}},
 			Text:       fmt.Sprintf("%d records, %d to %d: %s", g.To-g.From+1, g.From, g.To, g.Cause),
 		})
 	}
--- a/internal/incident/lists.go
+++ b/internal/incident/lists.go
@@ -29,7 +29,7 @@
 
 // A Start is one run of an instance's program, from its start to its end.
 type Start struct {
-	Boot            uint64
+	RunID           uint64
 	Program         string
 	From, To        Time // of its first and last record, by its own clock
 	Clean           bool // it ended with an orderly shutdown
--- a/internal/incident/opencalls.go
+++ b/internal/incident/opencalls.go
@@ -75,7 +75,7 @@
 		Class:      c.class,
 		At:         c.offeredAt,
 		Reason:     reason,
-		Ref:        Ref{p.Instance, fmt.Sprintf("%016x", p.currentStart().Boot), c.seq},
+		Ref:        Ref{p.Instance, fmt.Sprintf("%016x", p.currentStart().RunID), c.seq},
 		startIndex: len(p.Starts) - 1,
 	})
 }
--- a/internal/incident/part.go
+++ b/internal/incident/part.go
@@ -108,7 +108,7 @@
 		p.Instance, p.Store = h.Name, h.Store
 	}
 	p.Records++
-	if len(p.Starts) == 0 || p.currentStart().Boot != h.RunID {
+	if len(p.Starts) == 0 || p.currentStart().RunID != h.RunID {
 		p.beginStart(h, r)
 	}
 	start := p.currentStart()
--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -203,7 +203,7 @@
 
 func newRun(s *Start, source int) Run {
 	return Run{
-		Boot:     fmt.Sprintf("%016x", s.Boot),
+		Boot:     fmt.Sprintf("%016x", s.RunID),
 		Program:  s.Program,
 		Clean:    s.Clean,
 		Stopping: s.Stopping,
--- a/internal/incident/starts.go
+++ b/internal/incident/starts.go
@@ -11,7 +11,7 @@
 		p.endStart(n - 1)
 		if n >= maxStarts { // a program in a crash loop
 			s := p.currentStart()
-			s.Boot = h.RunID
+			s.RunID = h.RunID
 			s.Clean = false
 			s.Stopping = 0
 			s.Offset = Offset{}
@@ -20,7 +20,7 @@
 			return
 		}
 	}
-	p.Starts = append(p.Starts, Start{Boot: h.RunID, Program: h.Program, From: r.At, To: r.At})
+	p.Starts = append(p.Starts, Start{RunID: h.RunID, Program: h.Program, From: r.At, To: r.At})
 }
 
 // endStart ends a start that is followed by another: its open calls will not be answered any more.
