--- a/internal/incident/report.go
+++ b/internal/incident/report.go
@@ -70,7 +70,7 @@
 
 // A Run is a Start placed on the time line.
 type Run struct {
-	Boot     string
+	RunID    string
 	Program  string
 	From, To Moment
 	Clean    bool
@@ -203,7 +203,7 @@
 
 func newRun(s *Start, source int) Run {
 	return Run{
-		Boot:     fmt.Sprintf("%016x", s.RunID),
+		RunID:    fmt.Sprintf("%016x", s.RunID),
 		Program:  s.Program,
 		Clean:    s.Clean,
 		Stopping: s.Stopping,
