--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -33,7 +33,7 @@
 func (b *partBuilder) put(r record.Record) {
 	b.seq++
 	r.Seq = b.seq
-	b.p.Take(&b.h, &r)
+	b.p.AddRecord(&b.h, &r)
 }
 
 func (b *partBuilder) restart() { b.h.RunID++ }
@@ -204,7 +204,7 @@
 	f := newPartBuilder("n0")
 	f.put(record.Record{Kind: record.KindStart, At: testStart, Flag: true})
 	f.put(record.Record{Kind: record.KindCallOffered, At: testStart + time.Second, Call: "lost", Class: "voice"})
-	f.p.Take(&f.h, &record.Record{Kind: record.KindGap, From: 3, Seq: 9, Since: testStart + time.Second, At: testStart + 4*time.Second, Code: uint8(record.DiskFull)})
+	f.p.AddRecord(&f.h, &record.Record{Kind: record.KindGap, From: 3, Seq: 9, Since: testStart + time.Second, At: testStart + 4*time.Second, Code: uint8(record.DiskFull)})
 	f.seq = 9
 	f.put(record.Record{Kind: record.KindAnswer, At: testStart + 5*time.Second, Call: "before", Class: "voice", Code: uint8(record.OutcomeEstablished), Server: "s"})
 	f.put(record.Record{Kind: record.KindEnd, At: testStart + 6*time.Second})
--- a/internal/incident/part.go
+++ b/internal/incident/part.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Take adds the next record of the store. h is the header of the segment that holds it.
-func (p *Part) Take(h *record.Header, r *record.Record) {
+// AddRecord adds the next record of the store. h is the header of the segment that holds it.
+func (p *Part) AddRecord(h *record.Header, r *record.Record) {
 	if p.Instance == "" {
 		p.Instance, p.Store = h.Name, h.Store
 	}
--- a/internal/report/read.go
+++ b/internal/report/read.go
@@ -144,7 +144,7 @@
 		if err != nil {
 			return err
 		}
-		part.Take(union.Header(), &r)
+		part.AddRecord(union.Header(), &r)
 		n++
 		if n%progressInterval == 0 {
 			progress(progressInterval)
--- a/internal/server/recorder_test.go
+++ b/internal/server/recorder_test.go
@@ -93,7 +93,7 @@
 		var rec record.Record
 		for r.Next(&rec) == nil {
 			h := r.Header()
-			p.Take(&h, &rec)
+			p.AddRecord(&h, &rec)
 		}
 		_ = r.Close()
 		p.Close()
