--- a/internal/console/tracker.go
+++ b/internal/console/tracker.go
@@ -7,14 +7,15 @@
 	"olivedale/internal/record"
 )
 
-// Bounds of the data that a tracker keeps. Records of classes and servers beyond the bounds count in the totals only.
+// Bounds of the data that a tracker keeps. Records of classes and servers beyond the bounds count in the totals only. A
+// gap is shown for gapDisplayPeriod after its end.
 const (
 	maxInstances      = 4096
-	maxServers        = 1024            // of an instance
-	maxClasses        = 64              // of an instance
-	maxOpenCalls      = 1 << 18         // of an instance
-	gapDisplayPeriod  = 2 * time.Second // for which a gap is shown after its end
-	maxClockDeviation = time.Second     // of the wall clock from the monotonic clock, beyond which it has been set
+	maxServers        = 1024    // of an instance
+	maxClasses        = 64      // of an instance
+	maxOpenCalls      = 1 << 18 // of an instance
+	gapDisplayPeriod  = 2 * time.Second
+	maxClockDeviation = time.Second // of the wall clock from the monotonic clock, beyond which it has been set
 )
 
 // A tracker keeps the state of the fleet according to the records that were applied so far.
--- a/internal/incident/finding.go
+++ b/internal/incident/finding.go
@@ -52,7 +52,7 @@
 	Order              Order         // relative to the first notice
 	End                Moment
 	Ongoing            bool
-	MinRate            float64 // lowest rate limit, attempts a second
+	MinRate            float64 // lowest rate limit, attempts per second
 }
 
 // addRef adds references to records unless the list is full.
--- a/internal/incident/incident_test.go
+++ b/internal/incident/incident_test.go
@@ -384,7 +384,7 @@
 	}
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAddRecord(b *testing.B) {
 	f := newPartBuilder("n0")
 	at, i := testStart, 0
 	for b.Loop() {
--- a/internal/incident/lists.go
+++ b/internal/incident/lists.go
@@ -88,7 +88,7 @@
 type OverloadPeriod struct {
 	Server     string
 	From, To   Time    // To is 0 if the limit was still set at the end of the records
-	MinRate    float64 // lowest rate limit, in attempts a second
+	MinRate    float64 // lowest rate limit, in attempts per second
 	Ref, End   Ref
 	startIndex int
 }
