--- a/internal/incident/findoverload.go
+++ b/internal/incident/findoverload.go
@@ -29,7 +29,8 @@
 			periods = periods[n:]
 			counts, incomplete := r.sumWithin(f.From.Mid(), f.To.Mid())
 			f.Incomplete = incomplete
-			f.Text = fmt.Sprintf("%d of %d instances noticed; meanwhile %s calls were rejected or failed, %s were offered",
+			f.Text = fmt.Sprintf(
+				"%d of %d instances noticed; meanwhile %s calls were rejected or failed, %s were offered",
 				len(f.Noticed), len(parts),
 				formatCount(counts.Rejected()+counts.Outcome(record.OutcomeFailed), incomplete),
 				formatCount(counts.Offered, incomplete))
--- a/internal/incident/part.go
+++ b/internal/incident/part.go
@@ -20,8 +20,8 @@
 // Other is the name under which names beyond a bound are counted together.
 const Other = "(others)"
 
-// A Part is the analysis of one store. Create it with NewPart, call AddRecord for each record in order, then
-// Close. Its memory is bounded whatever the records contain.
+// A Part is the analysis of one store. Create it with NewPart, call AddRecord for each record in order, then Close. Its
+// memory is bounded whatever the records contain.
 type Part struct {
 	Instance string
 	Store    uint64
