--- a/internal/sim/scenario/check.go
+++ b/internal/sim/scenario/check.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Bounds of a scenario, which stop a mistyped value from running for a week.
+// Limits of a scenario, so that a mistyped value does not cause a run of days.
 const (
 	maxControllers = 2000
 	maxExchanges   = 5000
@@ -19,7 +19,7 @@
 	shareTolerance = 0.001
 )
 
-// Check returns an error that names the first key whose value cannot be run.
+// Check returns an error that names the first key with an invalid value.
 func (s *Scenario) Check() error {
 	if s.Length.D() <= 0 || s.Length.D() > maxLength {
 		return fmt.Errorf("length: %v is not between 0 and %v", s.Length.D(), maxLength)
@@ -60,7 +60,7 @@
 	isShare := f.ByzantineShare >= 0 && f.ByzantineShare <= 1
 	isReportKnown := f.ByzantineReport == ReportNoOverload || f.ByzantineReport == ReportOverload
 	if !isShare || f.ByzantineShare > 0 && !isReportKnown {
-		return errors.New("fleet: liars is a share between 0 and 1, lie is \"well\" or \"pressed\"")
+		return errors.New("fleet: liars must be between 0 and 1, lie must be \"well\" or \"pressed\"")
 	}
 	return nil
 }
@@ -70,30 +70,30 @@
 	case c.Load < 0 || c.Load > maxLoad:
 		return fmt.Errorf("callers.load: %v is not between 0 and %d", c.Load, maxLoad)
 	case !slices.Contains([]string{shapePoisson, shapeWave, shapeRamp}, c.Shape):
-		return fmt.Errorf("callers.shape: %q is none of poisson, wave, ramp", c.Shape)
+		return fmt.Errorf("callers.shape: %q is not one of poisson, wave, ramp", c.Shape)
 	case c.Shape == shapeWave && (c.Swing < 0 || c.Swing > 1):
-		return fmt.Errorf("callers.swing: %v of a wave is not between 0 and 1", c.Swing)
+		return fmt.Errorf("callers.swing: %v is not between 0 and 1, as a wave requires", c.Swing)
 	case c.AbandonShare < 0 || c.AbandonShare > 1:
 		return fmt.Errorf("callers.leave: %v is not between 0 and 1", c.AbandonShare)
 	case c.PreferredWeight < 0 || c.HotNumberShare < 0 || c.HotNumberShare > 1:
-		return errors.New("callers: lean must not be negative, hot is a share between 0 and 1")
+		return errors.New("callers: lean must not be negative, hot must be between 0 and 1")
 	}
 	return nil
 }
 
 func checkClasses(classes []Class) error {
 	if len(classes) == 0 {
-		return errors.New("class: there is none")
+		return errors.New("class: at least one is required")
 	}
 	sum := 0.0
 	for _, c := range classes {
 		sum += c.Share
 		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.Holding <= 0 || c.Share < 0 {
-			return fmt.Errorf("class %q: aim, give_up and holding must be positive, give_up not before aim", c.Name)
+			return fmt.Errorf("class %q: aim, give_up and holding must be positive, and give_up not less than aim", c.Name)
 		}
 	}
 	if math.Abs(sum-1) > shareTolerance {
-		return fmt.Errorf("class: the shares come to %v, not 1", sum)
+		return fmt.Errorf("class: the shares add up to %v, not 1", sum)
 	}
 	return nil
 }
@@ -101,13 +101,13 @@
 func (f *Fault) check() error {
 	switch {
 	case !slices.Contains(Kinds, f.Kind):
-		return errors.New("none of " + strings.Join(Kinds, ", "))
+		return errors.New("kind is not one of " + strings.Join(Kinds, ", "))
 	case f.At < 0 || f.For < 0:
 		return errors.New("at and for must not be negative")
 	case f.Share < 0 || f.Share > 1 || f.Keep < 0 || f.Keep > 1:
-		return errors.New("share and keep are between 0 and 1")
+		return errors.New("share and keep must be between 0 and 1")
 	case (f.Kind == Slow || f.Kind == Burst) && f.Factor <= 0:
-		return errors.New("factor is missing")
+		return errors.New("factor is missing or not positive")
 	}
 	return nil
 }
--- a/internal/sim/scenario/default.go
+++ b/internal/sim/scenario/default.go
@@ -1,8 +1,9 @@
 package scenario
 
-// Default returns the scenario that a file amends: a quiet day at the size of the operators' fleet. The figures
-// are those of the operators' description, in the middle of the ranges where it gives ranges. The division of a
-// call's work into set-up, answer and release is the project's own estimate, since the description has none.
+// Default returns the scenario whose values apply to the keys that a file leaves out: moderate load on a fleet of
+// the size that the operators run. The values come from the operators' description, from the middle of the range
+// where it gives one. It does not divide the work of a call into set-up, answer and release; that division is an
+// estimate.
 func Default() Scenario {
 	return Scenario{
 		Name:     "quiet",
@@ -10,11 +11,11 @@
 		Fleet:    Fleet{Controllers: 7, Exchanges: 3, Zones: 3, Clients: 4},
 		Exchange: defaultExchange(),
 		Network: Network{
-			Near:            span(0.3, 1.5),
-			Far:             span(13, 22),
-			EndpointUpdates: span(500, 3000),
+			Near:            millisecondRange(0.3, 1.5),
+			Far:             millisecondRange(13, 22),
+			EndpointUpdates: millisecondRange(500, 3000),
 			Client:          milliseconds(1),
-			Peer:            span(2.1, 13),
+			Peer:            millisecondRange(2.1, 13),
 		},
 		Callers: defaultCallers(),
 		Class:   defaultClasses(),
@@ -46,9 +47,9 @@
 		Shape:              shapePoisson,
 		Period:             milliseconds(30000),
 		MaxRedials:         3,
-		RedialDelay:        span(500, 2000),
+		RedialDelay:        millisecondRange(500, 2000),
 		Patience:           [2]float64{0.3, 0.4},
-		PreferenceInterval: span(11000, 20000),
+		PreferenceInterval: millisecondRange(11000, 20000),
 		PreferredWeight:    2,
 	}
 }
--- a/internal/sim/scenario/derive.go
+++ b/internal/sim/scenario/derive.go
@@ -8,20 +8,20 @@
 	"olivedale/internal/sim/exchange"
 )
 
-// Settings of every simulated controller that no scenario changes.
+// Controller settings that are the same in all scenarios.
 const (
 	controllerTopology    = "pools"
 	controllerMaxAttempts = 4
 	controllerRetryGuard  = 300 * time.Millisecond
 )
 
-// slowStartWindow is the window over which an exchange in slow start counts the set-ups that make it fail.
+// slowStartWindow is the window in which the set-ups to an exchange in slow start are counted for SlowStartFailure.
 const slowStartWindow = time.Second
 
-// minPeriod bounds the period of a wave from below, in seconds.
+// minPeriod is the minimum period of a wave in seconds; it prevents a division by zero.
 const minPeriod = 0.001
 
-// Model returns the settings of the exchange emulator.
+// Model returns the settings of the emulated exchanges.
 func (s *Scenario) Model() exchange.Settings {
 	e := &s.Exchange
 	m := exchange.Settings{
@@ -47,7 +47,7 @@
 	return m
 }
 
-// Settings returns the settings that the platform gives to each controller.
+// Settings returns the settings of each controller.
 func (s *Scenario) Settings() admission.Settings {
 	settings := admission.Settings{
 		ControllerCount: s.Fleet.Controllers,
@@ -71,14 +71,14 @@
 	return settings
 }
 
-// Rate returns the planned load of all exchanges in calls a second.
+// Rate returns the planned load of all exchanges together in calls per second.
 func (s *Scenario) Rate() float64 {
 	m := s.Model()
 	return s.Exchange.Planned * m.Capacity() * float64(s.Fleet.Exchanges)
 }
 
-// Offered returns the offered load at a time of the run as a share of the planned load, without the effect of
-// faults.
+// Offered returns the load that is offered at a time of the run, as a multiple of the planned load and without the
+// effect of faults.
 func (s *Scenario) Offered(at time.Duration) float64 {
 	c := &s.Callers
 	switch c.Shape {
--- a/internal/sim/scenario/fault.go
+++ b/internal/sim/scenario/fault.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// DefaultRedialDelay is the delay after which callers whose call was dropped redial, unless a fault sets another.
-var DefaultRedialDelay = span(280, 2900)
+// DefaultRedialDelay is the range of the delay before callers of dropped calls redial, unless the fault sets one.
+var DefaultRedialDelay = millisecondRange(280, 2900)
 
 // Kinds of faults.
 const (
 	Slow                  = "slow"       // service times of exchanges are multiplied by Factor
-	Crash                 = "crash"      // exchanges stop without closing their calls
+	Crash                 = "crash"      // exchanges stop without releasing their calls
 	Unreachable           = "vanish"     // messages to and from exchanges are lost
 	Hang                  = "hang"       // exchanges accept messages and answer none
 	Replace               = "replace"    // rolling deployment: exchanges drain and stop, new ones start
-	LoseCircuits          = "lose_lines" // the exchanges of a zone keep the share Keep of their circuits
+	LoseCircuits          = "lose_lines" // exchanges of a zone keep only the share Keep of their circuits
 	DropCalls             = "cut"        // a share of the established calls is dropped; their callers redial
 	Burst                 = "burst"      // the call rate is multiplied by Factor
 	DiscoveryUnavailable  = "names_lost" // discovery is unavailable
@@ -25,19 +25,19 @@
 	ClockSkew             = "skew"       // clocks of exchanges are off by By, which affects the reported start times
 	Kill                  = "kill"       // controllers are killed and restarted after By
 	LoseSetUps            = "lost"       // a share of the call set-ups is lost
-	DeadConnections       = "dead"       // connections to a share of the exchanges lose all until dialled again
-	Partition             = "sever"      // a partition between a zone and the others, without connection errors
-	RollingRestart        = "roll"       // restart of all controllers, a tenth at a time, over For; each is down for By
+	DeadConnections       = "dead"       // connections to a share of the exchanges lose all messages until redialled
+	Partition             = "sever"      // network partition between a zone and the others, without connection errors
+	RollingRestart        = "roll"       // all controllers restart, a tenth at a time, over For; each is down for By
 )
 
-// Kinds lists the kinds of faults.
+// Kinds lists all kinds of faults.
 var Kinds = []string{
 	Slow, Crash, Unreachable, Hang, Replace, LoseCircuits, DropCalls, Burst, DiscoveryUnavailable, DiscoveryDelay,
 	DiscoveryFalseRemoval, Reset, LoseAnswers, MalformAnswers, DuplicateAnswers, ClockSkew, Kill, LoseSetUps,
 	DeadConnections, Partition, RollingRestart,
 }
 
-// A Fault is a disturbance that begins at a time of the run and lasts for a while.
+// A Fault is injected into a run at a given time.
 type Fault struct {
 	Kind        string        `toml:"kind" json:"kind"`
 	At          Duration      `toml:"at" json:"at"`                   // since the start of the run
@@ -49,7 +49,7 @@
 	RedialDelay DurationRange `toml:"back" json:"back"`               // delay until dropped callers redial
 }
 
-// String describes the fault by its kind and the parameters that are set.
+// String returns the kind, the time and the parameters that are set.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s at %v", f.Kind, f.At.D())
 	if f.For > 0 {
--- a/internal/sim/scenario/parse.go
+++ b/internal/sim/scenario/parse.go
@@ -9,11 +9,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Parse reads and checks a scenario; keys that it leaves out have the values of Default.
+// Parse parses and checks a scenario. Keys that are missing from the text have the values of Default.
 func Parse(text []byte) (*Scenario, error) {
 	s := Default()
 	if definesClasses(text) {
-		s.Class = nil // the decoder would merge the file's classes into the default ones
+		s.Class = nil // the decoder would merge the classes of the file into the default ones
 	}
 	meta, err := toml.Decode(string(text), &s)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return &s, nil
 }
 
-// definesClasses reports whether a scenario file has classes of its own.
+// definesClasses reports whether a scenario file defines classes.
 func definesClasses(text []byte) bool {
 	var classes struct {
 		Class []Class `toml:"class"`
@@ -37,7 +37,7 @@
 	return err == nil && len(classes.Class) > 0
 }
 
-// describeParseError names the line of a syntax error and takes the decoder's prefix off other errors.
+// describeParseError adds the line to a syntax error and removes the decoder's prefix from other errors.
 func describeParseError(err error) error {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
@@ -46,7 +46,7 @@
 	return errors.New(strings.TrimPrefix(err.Error(), "toml: "))
 }
 
-// Load reads and checks a scenario file.
+// Load reads, parses and checks a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
