--- a/internal/sim/result/figure.go
+++ b/internal/sim/result/figure.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// A Figure is a number of a result by which runs are compared.
+// A Figure is a metric of a Result by which runs are compared.
 type Figure struct {
-	Name string // as in tables and flags
+	Name string // in tables and flags
 	Of   func(*Result) float64
-	Less bool // a lower value is better
+	Less bool // lower values are better
 }
 
-// Figures lists the figures in the order of the tables; the first is the score.
+// Figures lists the figures in the order of table columns. The first is the score.
 var Figures = []Figure{
 	{Name: "score", Of: func(r *Result) float64 { return r.Score }},
 	{Name: "service", Of: func(r *Result) float64 { return r.Service }},
@@ -29,13 +29,13 @@
 	{Name: "cold_sends", Of: (*Result).ColdSends, Less: true},
 }
 
-// An UnknownFigureError is the name of a figure that does not exist.
+// An UnknownFigureError reports the name of a figure that does not exist.
 type UnknownFigureError struct{ Name string }
 
-// Error names the figure.
-func (e *UnknownFigureError) Error() string { return fmt.Sprintf("no figure is named %q", e.Name) }
+// Error implements error.
+func (e *UnknownFigureError) Error() string { return fmt.Sprintf("unknown figure %q", e.Name) }
 
-// FigureNamed returns the figure of a name; the error is an *UnknownFigureError.
+// FigureNamed returns the figure with the given name, or an *UnknownFigureError.
 func FigureNamed(name string) (Figure, error) {
 	i := slices.IndexFunc(Figures, func(f Figure) bool { return f.Name == name })
 	if i < 0 {
--- a/internal/sim/result/recovery.go
+++ b/internal/sim/result/recovery.go
@@ -1,26 +1,26 @@
 package result
 
-// A Recovery is the course of the service after a fault.
+// A Recovery describes how the service degraded and recovered after a fault.
 type Recovery struct {
 	Fault   string  `json:"fault"`
 	At      float64 `json:"at_s"`
 	Lowest  float64 `json:"lowest"`    // service of the worst second after the fault
-	Took    float64 `json:"took_s"`    // time until the service recovered; notReached if it did not within the run
-	Noticed float64 `json:"noticed_s"` // time until the service fell; notReached if it did not
+	Took    float64 `json:"took_s"`    // time until the service recovered, or notReached; 0 if it never fell
+	Noticed float64 `json:"noticed_s"` // time until the service fell, or notReached
 }
 
-// notReached is the time of a Recovery for an event that did not occur in the run.
+// notReached is the value of Took and Noticed if the event did not occur within the run.
 const notReached = -1
 
-// Parameters of the detection of a fall and of the recovery, in seconds.
+// Parameters by which degradation and recovery are detected.
 const (
-	baselineWindow = 10   // before the fault, of which the service is the baseline
-	recoveryWindow = 3    // that must reach the baseline again
-	tolerance      = 0.05 // of the service, below the baseline
+	baselineWindow = 10   // seconds before the fault whose mean service is the baseline
+	recoveryWindow = 3    // seconds whose mean service must be near the baseline again
+	tolerance      = 0.05 // by which the service may be below the baseline
 )
 
-// measure finds the second in which the service fell after the fault, and the one from which it was back near its
-// baseline for the recovery window.
+// measure finds the first second after the fault in which the service is below the threshold, and the first one after
+// it from which the service of a whole recovery window reaches the threshold.
 func (r *Recovery) measure(seconds []service) {
 	from := int(r.At)
 	threshold := meanService(seconds, from-baselineWindow, from) - tolerance
@@ -35,9 +35,9 @@
 		if r.Noticed < 0 && meanService(seconds, i, i+1) < threshold {
 			r.Noticed = elapsed
 		}
-		isFallen := r.Noticed >= 0 && elapsed > r.Noticed
+		isAfterFall := r.Noticed >= 0 && elapsed > r.Noticed
 		hasWindow := i+recoveryWindow <= len(seconds)
-		if isFallen && r.Took < 0 && hasWindow && meanService(seconds, i, i+recoveryWindow) >= threshold {
+		if isAfterFall && r.Took < 0 && hasWindow && meanService(seconds, i, i+recoveryWindow) >= threshold {
 			r.Took = elapsed
 		}
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// meanService returns the service ratio of the seconds from one index to before another, as far as they exist.
+// meanService returns the service ratio of the seconds in [from, to), clipped to those that exist.
 func meanService(seconds []service, from, to int) float64 {
 	return sum(seconds[max(from, 0):min(max(to, 0), len(seconds))]).ratio()
 }
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -1,7 +1,7 @@
-// Package result measures the service that callers get in a run, and defines the figures by which runs are compared.
-// Service is computed as the operators compute theirs; the two are not comparable, since the exchanges and callers
-// here are this project's own. The package judges no result: internal/sim/experiment compares results and
-// internal/sim/invariant finds violations.
+// Package result measures the service that callers get in a run and defines the figures by which runs are compared.
+// Service is computed by the operators' formula, but the values cannot be compared with theirs, since the exchanges
+// and callers are emulated. The package does not evaluate results: internal/sim/experiment compares them, and
+// internal/sim/invariant detects violations.
 package result
 
 import (
@@ -17,41 +17,42 @@
 // A Time is the time since the start of the run.
 type Time = time.Duration
 
-// A Result is the outcome of a run. Its JSON is an interface: scripts and earlier versions of the program read it.
+// A Result is the outcome of a run. Its JSON format must stay compatible: scripts and earlier versions of the program
+// read it.
 type Result struct {
 	Scenario string  `json:"scenario"`
 	Seed     uint64  `json:"seed"`
 	Length   float64 `json:"length_s"`
 
-	// Score is a mix of Service, Worst and WorstClass, less deductions for Second and Waste.
+	// Score is a weighted sum of Service, Worst and WorstClass, less deductions for Second and Waste.
 	Score float64 `json:"score"`
-	// Service is the earned weight over the offered weight. A call earns its weight if it is established within
-	// its latency objective and not dropped, and a share of it if it is established later.
+	// Service is the earned weight over the offered weight. A call that is not dropped earns its weight if it is
+	// established within its latency objective, and a share of it if it is established later.
 	Service    float64 `json:"service"`
 	Worst      float64 `json:"worst_10s"`   // service of the worst 10 s
 	WorstClass float64 `json:"worst_class"` // service of the worst class
-	Second     float64 `json:"second"`      // share of the established calls outside of their preferred pool
-	Waste      float64 `json:"waste"`       // processor time spent on calls that failed, over that on the others
-	Fairness   float64 `json:"fairness"`    // Jain's index of the controllers' service
+	Second     float64 `json:"second"`      // share of the established calls that are outside of their preferred pool
+	Waste      float64 `json:"waste"`       // processor time spent on failed calls, over that on the others
+	Fairness   float64 `json:"fairness"`    // Jain's index of the service of the controllers
 
 	Offered     int `json:"offered"` // calls
-	Tries       int `json:"tries"`   // calls that clients sent, redials included
+	Tries       int `json:"tries"`   // offers by clients, redials included
 	Sends       int `json:"sends"`   // attempts: set-ups sent to exchanges
-	Established int `json:"stood"`   // established
-	Rejected    int `json:"refused"` // rejected
+	Established int `json:"stood"`
+	Rejected    int `json:"refused"`
 	Failed      int `json:"failed"`
-	Abandoned   int `json:"gave_up"` // abandoned
-	Dropped     int `json:"cut"`     // dropped
+	Abandoned   int `json:"gave_up"`
+	Dropped     int `json:"cut"`
 
-	Datagrams     int `json:"datagrams,omitempty"`  // sent between controllers, by destination
-	DatagramBytes int `json:"told_bytes,omitempty"` // their bytes
+	Datagrams     int `json:"datagrams,omitempty"`  // between controllers, counted once per destination
+	DatagramBytes int `json:"told_bytes,omitempty"` // total size of Datagrams
 
 	P50 float64 `json:"setup_p50_ms"`
 	P95 float64 `json:"setup_p95_ms"`
 	P99 float64 `json:"setup_p99_ms"`
 
 	Classes         []Class                `json:"classes"`
-	Seconds         []float64              `json:"seconds"` // service of each second; noService if nothing was offered
+	Seconds         []float64              `json:"seconds"` // service of each second, or noService
 	Recoveries      []Recovery             `json:"recoveries,omitempty"`
 	Exchanges       Exchanges              `json:"exchanges"`
 	Cold            []Cold                 `json:"cold,omitempty"`
@@ -60,27 +61,27 @@
 	Events          uint64                 `json:"events"`
 }
 
-// noService marks a second of Result.Seconds without offered calls.
+// noService is the value in Result.Seconds of a second in which no calls were offered.
 const noService = -1
 
-// A Class is the outcome of the calls of one class.
+// A Class is the outcome of the calls of a class.
 type Class struct {
 	Name    string  `json:"name"`
 	Offered int     `json:"offered"`
 	InTime  int     `json:"in_time"` // established within the latency objective
 	Late    int     `json:"late"`    // established later
-	Dropped int     `json:"cut"`     // dropped
+	Dropped int     `json:"cut"`
 	Service float64 `json:"service"`
 }
 
-// Exchanges is the sum of the counters of all exchanges.
+// Exchanges holds the sums of the counters of all exchanges.
 type Exchanges struct {
 	exchange.Counters
 	WorkSeconds   float64 `json:"work_s"`
 	WastedSeconds float64 `json:"wasted_s"`
 }
 
-// Add adds the counters of an exchange.
+// Add adds the counters of an exchange to the sums.
 func (e *Exchanges) Add(c *exchange.Counters) {
 	e.SetUps += c.SetUps
 	e.Repeats += c.Repeats
@@ -97,15 +98,15 @@
 	e.WorkSeconds, e.WastedSeconds = e.Work.Seconds(), e.Wasted.Seconds()
 }
 
-// Cold is the load of an exchange in its slow start.
+// Cold describes the load of an exchange in its slow start.
 type Cold struct {
 	Exchange string    `json:"exchange"`
-	Born     float64   `json:"born_s"` // start time
-	Fell     bool      `json:"fell"`   // it failed under its load
-	Sends    []float64 `json:"sends"`  // attempts of each second since its start, over its capacity at that time
+	Born     float64   `json:"born_s"` // start time in seconds since the start of the run
+	Fell     bool      `json:"fell"`   // whether it failed under the load
+	Sends    []float64 `json:"sends"`  // attempts in each second since its start, over its capacity in that second
 }
 
-// Weights of the score.
+// Weights of the terms of the score.
 const (
 	serviceShare    = 0.5
 	worstShare      = 0.15
@@ -114,7 +115,7 @@
 	wasteDeduction  = 0.019
 )
 
-// Finish computes the figures that depend on the counters of the exchanges: Waste and Score.
+// Finish computes Waste and Score, which depend on the counters of the exchanges.
 func (r *Result) Finish() {
 	if good := r.Exchanges.Work - r.Exchanges.Wasted; good > 0 {
 		r.Waste = float64(r.Exchanges.Wasted) / float64(good)
@@ -132,7 +133,7 @@
 	return sum
 }
 
-// ColdSends returns the highest load that an exchange in slow start had in a second, over its capacity.
+// ColdSends returns the highest load of an exchange in slow start in any second, over its capacity in that second.
 func (r *Result) ColdSends() float64 {
 	highest := 0.0
 	for _, c := range r.Cold {
@@ -143,7 +144,7 @@
 	return highest
 }
 
-// WriteJSON writes the result as one indented object.
+// WriteJSON writes the result as an indented JSON object.
 func (r *Result) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
--- a/internal/sim/result/result_test.go
+++ b/internal/sim/result/result_test.go
@@ -19,7 +19,7 @@
 	return &sc
 }
 
-// A call earns its weight in time, a share of it late, and nothing once it is dropped.
+// A call earns its weight if it is established in time, a share of it if late, and nothing if it is dropped.
 func TestService(t *testing.T) {
 	tally := NewTally(oneClass())
 	inTime := tally.Offered(0, 0, 0)
@@ -43,7 +43,7 @@
 	if len(r.Seconds) != 2 || r.Seconds[0] != 0.625 || r.Seconds[1] != 0 {
 		t.Errorf("seconds %v", r.Seconds)
 	}
-	if r.Fairness != 0.5 { // one of two controllers has all of the service
+	if r.Fairness != 0.5 { // one of two controllers provides all of the service
 		t.Errorf("fairness %v, want 0.5", r.Fairness)
 	}
 }
@@ -57,9 +57,9 @@
 	}
 }
 
-// The recovery starts at the fault, and ends with three seconds near the baseline.
+// The recovery time counts from the fault to the first of three seconds that are near the baseline.
 func TestRecovery(t *testing.T) {
-	course := func(ratios ...float64) []service {
+	secondsOf := func(ratios ...float64) []service {
 		var seconds []service
 		for _, ratio := range ratios {
 			seconds = append(seconds, service{offered: 1, earned: ratio})
@@ -70,9 +70,9 @@
 		seconds []service
 		want    Recovery
 	}{
-		"recovers": {course(1, 1, 1, 0.5, 1, 0.9, 1, 1, 1), Recovery{At: 2, Lowest: 0.5, Took: 2, Noticed: 1}},
-		"stays":    {course(1, 1, 0.5, 0.5, 0.5), Recovery{At: 2, Lowest: 0.5, Took: notReached, Noticed: 0}},
-		"no fall":  {course(1, 1, 0.96, 1), Recovery{At: 2, Lowest: 0.96, Took: 0, Noticed: notReached}},
+		"recovers": {secondsOf(1, 1, 1, 0.5, 1, 0.9, 1, 1, 1), Recovery{At: 2, Lowest: 0.5, Took: 2, Noticed: 1}},
+		"stays":    {secondsOf(1, 1, 0.5, 0.5, 0.5), Recovery{At: 2, Lowest: 0.5, Took: notReached, Noticed: 0}},
+		"no fall":  {secondsOf(1, 1, 0.96, 1), Recovery{At: 2, Lowest: 0.96, Took: 0, Noticed: notReached}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := Recovery{At: 2}
--- a/internal/sim/result/service.go
+++ b/internal/sim/result/service.go
@@ -1,9 +1,9 @@
 package result
 
-// service is the weight of calls that were offered, and the weight that they earned.
+// service is the total weight of the calls that were offered and the weight that they earned.
 type service struct{ offered, earned float64 }
 
-// ratio returns the earned over the offered weight, or 1 if nothing was offered.
+// ratio returns the earned weight over the offered weight, or 1 if nothing was offered.
 func (s service) ratio() float64 {
 	if s.offered <= 0 {
 		return 1
@@ -20,7 +20,7 @@
 	return total
 }
 
-// worst returns the lowest service ratio of a number of consecutive seconds.
+// worst returns the lowest service ratio of any window of consecutive seconds.
 func worst(seconds []service, window int) float64 {
 	lowest := 1.0
 	for i := 0; i+window <= len(seconds); i++ {
@@ -29,7 +29,7 @@
 	return lowest
 }
 
-// fairness returns Jain's index of the controllers' service ratios: 1 if all are equal (Jain, Chiu and Hawe, 1984).
+// fairness returns Jain's fairness index of the service ratios: 1 if all are equal (Jain, Chiu and Hawe, 1984).
 func fairness(controllers []service) float64 {
 	var total, squares, count float64
 	for _, c := range controllers {
--- a/internal/sim/result/tally.go
+++ b/internal/sim/result/tally.go
@@ -16,31 +16,31 @@
 	setUpTimeDigits = 3
 )
 
-// worstWindow is the length in seconds of the period that Result.Worst looks for.
+// worstWindow is the length in seconds of the window of Result.Worst.
 const worstWindow = 10
 
-// A Call is one call of a caller with all its redials. The Tally owns its fields.
+// A Call is a call with all its redials. Only Tally changes its fields.
 type Call struct {
 	class      int
 	controller int
-	second     int // of the first offer
+	second     int // in which it was first offered
 	earned     float64
 }
 
 // A Tally counts the events of a run and computes its Result. It is not safe for concurrent use.
 type Tally struct {
 	scenario    *scenario.Scenario
-	seconds     []service // by the second in which a call was offered first
+	seconds     []service // by the second in which calls were first offered
 	controllers []service
 	classes     []Class
 	setUpTimes  *hdrhistogram.Histogram
 	recoveries  []Recovery
 	result      Result
-	// outsidePreferredPool counts established calls outside of the pool that the caller preferred.
+	// outsidePreferredPool counts the calls established in another pool than the one that the caller preferred.
 	outsidePreferredPool float64
 }
 
-// NewTally returns a tally for a run of the scenario.
+// NewTally returns an empty tally for a run of the scenario.
 func NewTally(sc *scenario.Scenario) *Tally {
 	t := &Tally{
 		scenario:    sc,
@@ -53,7 +53,7 @@
 	return t
 }
 
-// secondOf returns the index of the second of a time, and has the tally hold that second.
+// secondOf returns the index in seconds of a time, and extends seconds up to it.
 func (t *Tally) secondOf(at Time) int {
 	i := int(at / time.Second)
 	for len(t.seconds) <= i {
@@ -62,7 +62,7 @@
 	return i
 }
 
-// Offered counts a new call of a class, whose first offer goes to a controller.
+// Offered counts a new call of a class that is first offered to the given controller.
 func (t *Tally) Offered(at Time, class, controller int) *Call {
 	c := &Call{class: class, controller: controller, second: t.secondOf(at)}
 	weight := t.scenario.Class[class].Weight
@@ -73,19 +73,19 @@
 	return c
 }
 
-// Try counts an offer of a call to a controller, the first one or a redial.
+// Try counts an offer of a call to a controller, whether the first or a redial.
 func (t *Tally) Try() { t.result.Tries++ }
 
-// Datagram counts a datagram of a controller to another.
+// Datagram counts a datagram from one controller to another.
 func (t *Tally) Datagram(bytes int) {
 	t.result.Datagrams++
 	t.result.DatagramBytes += bytes
 }
 
-// Sent counts an attempt: a set-up that a controller sent to an exchange.
+// Sent counts an attempt: a set-up that a controller sends to an exchange.
 func (t *Tally) Sent() { t.result.Sends++ }
 
-// Rejected counts a final answer that a call was rejected, or that it failed.
+// Rejected counts a call as rejected or, if isRejected is false, as failed.
 func (t *Tally) Rejected(isRejected bool) {
 	if isRejected {
 		t.result.Rejected++
@@ -94,11 +94,11 @@
 	}
 }
 
-// Abandoned counts an offer that its caller abandoned.
+// Abandoned counts an offer that the caller abandoned.
 func (t *Tally) Abandoned() { t.result.Abandoned++ }
 
-// Established counts an established call with the time since its caller dialled first. isOutsidePreferredPool says
-// that it is established in another pool than the preferred one.
+// Established counts an established call. setUpTime is the time since the caller first dialled;
+// isOutsidePreferredPool says that the call is established in another pool than the preferred one.
 func (t *Tally) Established(c *Call, setUpTime time.Duration, isOutsidePreferredPool bool) {
 	class := &t.scenario.Class[c.class]
 	t.result.Established++
@@ -117,7 +117,7 @@
 	t.controllers[c.controller].earned += c.earned
 }
 
-// Dropped counts an established call as dropped: it loses what it has earned.
+// Dropped counts an established call as dropped and takes back the weight that it earned.
 func (t *Tally) Dropped(c *Call) {
 	t.result.Dropped++
 	t.classes[c.class].Dropped++
@@ -131,7 +131,7 @@
 	c.earned = 0
 }
 
-// Fault notes a fault, whose recovery the Result describes.
+// Fault records a fault; the Result describes the recovery from it.
 func (t *Tally) Fault(at Time, f scenario.Fault) {
 	t.recoveries = append(t.recoveries, Recovery{Fault: f.String(), At: at.Seconds()})
 }
@@ -164,7 +164,7 @@
 	return r
 }
 
-// computeClasses sets the service of each class and that of the worst.
+// computeClasses computes the service of each class and the lowest of them.
 func (t *Tally) computeClasses() {
 	t.result.WorstClass = 1
 	for i := range t.classes {
