--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -9,39 +9,39 @@
 	"olivedale/internal/sim/result"
 )
 
-// A Verdict says how a figure of the second of two programs compares to that of the first.
+// A Verdict is the result of comparing a figure of the second of two programs with that of the first.
 type Verdict string
 
 // Verdicts.
 const (
 	Better Verdict = "better"
 	Worse  Verdict = "worse"
-	// Same says that the interval of the difference includes zero, or that there are too few days to tell.
+	// Same means that the confidence interval of the difference includes zero, or that there are too few runs.
 	Same Verdict = "no difference shown"
 )
 
-// A Difference compares one figure of two programs that played the same days.
+// A Difference compares a figure of two programs that ran the same scenarios with the same seeds.
 type Difference struct {
 	Figure     string   `json:"figure"`
 	Base, Now  float64  // means
-	Diff       Interval // Now minus Base, paired by day
+	Diff       Interval // Now minus Base, paired by seed
 	Verdict    Verdict  `json:"verdict"`
 	WorstBase  float64
 	WorstNow   float64
-	Resolution float64 // half the width of the interval: a smaller difference cannot be shown
+	Resolution float64 // half the width of the interval: smaller differences cannot be detected
 }
 
-// minDays is the least number of days from which an interval supports a verdict.
-const minDays = 5
+// minRuns is the minimum number of runs for a verdict other than Same.
+const minRuns = 5
 
-// ErrDifferentDays says that two lists of results have different scenarios or seeds.
-var ErrDifferentDays = errors.New("the results are of different days")
+// ErrDifferentDays reports that two lists of results have different scenarios or seeds.
+var ErrDifferentDays = errors.New("the results have different scenarios or seeds")
 
-// Compare returns the difference of each figure between two programs, paired by day. Both lists must have the
-// same scenarios and seeds in the same order.
+// Compare returns the difference of each figure between two programs. It compares pairs of runs, so both lists must
+// have the same scenarios and seeds in the same order.
 func Compare(base, now []*result.Result) ([]Difference, error) {
 	if len(base) != len(now) || len(now) == 0 {
-		return nil, fmt.Errorf("%d results against %d: they must be of the same days", len(base), len(now))
+		return nil, fmt.Errorf("cannot compare %d results with %d: both must have the same seeds", len(base), len(now))
 	}
 	for i := range now {
 		if base[i].Seed != now[i].Seed || base[i].Scenario != now[i].Scenario {
@@ -55,7 +55,7 @@
 	return differences, nil
 }
 
-// compareFigure compares the values of one figure, paired by day.
+// compareFigure compares the values of a figure, paired by index.
 func compareFigure(figure result.Figure, base, now []float64) Difference {
 	paired := make([]float64, len(now))
 	for i := range now {
@@ -67,21 +67,21 @@
 		Base:       stat.Mean(base, nil),
 		Now:        stat.Mean(now, nil),
 		Diff:       interval,
-		Verdict:    judge(interval, figure.Less),
+		Verdict:    verdictOf(interval, figure.Less),
 		WorstBase:  Bootstrap(base, figure.Less).Worst,
 		WorstNow:   Bootstrap(now, figure.Less).Worst,
 		Resolution: (interval.High - interval.Low) / 2,
 	}
 }
 
-// judge returns the verdict on a difference.
-func judge(difference Interval, lessIsBetter bool) Verdict {
-	isMore := difference.Low > 0
-	isLess := difference.High < 0
+// verdictOf returns the verdict on the interval of a difference.
+func verdictOf(difference Interval, lessIsBetter bool) Verdict {
+	isHigher := difference.Low > 0
+	isLower := difference.High < 0
 	switch {
-	case difference.Days < minDays, !isMore && !isLess:
+	case difference.Days < minRuns, !isHigher && !isLower:
 		return Same
-	case isMore != lessIsBetter:
+	case isHigher != lessIsBetter:
 		return Better
 	default:
 		return Worse
--- a/internal/sim/experiment/experiment.go
+++ b/internal/sim/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment plays a scenario with many seeds and compares the results statistically: means with bootstrap
-// intervals, paired differences between two programs, rank correlations. It also shrinks a failing scenario. It
-// treats the simulated controller as a black box and never inspects it.
+// Package experiment runs a scenario with many seeds and compares the results statistically: means with bootstrap
+// confidence intervals, paired differences between two programs, rank correlations. It also minimizes scenarios that
+// violate an invariant. It treats the simulated controller as a black box.
 package experiment
 
 import (
@@ -15,7 +15,7 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// Seeds returns n consecutive seeds, the first included.
+// Seeds returns n consecutive seeds, starting with first.
 func Seeds(first uint64, n int) []uint64 {
 	seeds := make([]uint64, n)
 	for i := range seeds {
@@ -24,8 +24,8 @@
 	return seeds
 }
 
-// Play runs a scenario in virtual time with each seed, as many runs in parallel as there are cores, and returns
-// the results in the order of the seeds. It starts no further run once ctx is done, and returns its error.
+// Play runs a scenario in virtual time with each seed, with one run per core in parallel, and returns the results in
+// the order of the seeds. When ctx ends it starts no further run and returns the error of ctx.
 func Play(
 	ctx context.Context, sc *scenario.Scenario, seeds []uint64, options virtualtime.Options,
 ) ([]*result.Result, error) {
@@ -44,12 +44,12 @@
 	return results, group.Wait()
 }
 
-// Machine describes the machine that runs the experiment.
+// Machine describes the machine on which the program runs.
 func Machine() string {
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-// Of returns a figure of each result.
+// Of returns the value of a figure in each result.
 func Of(results []*result.Result, figure result.Figure) []float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// About 95% of the intervals include the true mean.
+// About 95% of the bootstrap intervals include the true mean.
 func TestBootstrapCovers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	covering := 0
@@ -34,8 +34,8 @@
 	}
 }
 
-// days returns a result for each score, with consecutive seeds.
-func days(scores ...float64) []*result.Result {
+// resultsOf returns a result for each score, with consecutive seeds.
+func resultsOf(scores ...float64) []*result.Result {
 	var results []*result.Result
 	for i, score := range scores {
 		results = append(results, &result.Result{Scenario: "s", Seed: uint64(i), Score: score})
@@ -43,18 +43,18 @@
 	return results
 }
 
-// Pairing by day shows a difference that is small against that between days; too few days show none.
+// Paired runs show a difference that is small against the spread between runs; three runs are too few to show it.
 func TestCompare(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var base, better, same []float64
 	for range 20 {
-		day := 0.5 + 0.4*rng.Float64() // days differ by far more than the programs
-		base = append(base, day)
-		better = append(better, day+0.01+0.005*rng.NormFloat64())
-		same = append(same, day+0.01*rng.NormFloat64())
+		score := 0.5 + 0.4*rng.Float64() // runs differ by far more than the programs
+		base = append(base, score)
+		better = append(better, score+0.01+0.005*rng.NormFloat64())
+		same = append(same, score+0.01*rng.NormFloat64())
 	}
 	for want, now := range map[Verdict][]float64{Better: better, Same: same} {
-		d, err := Compare(days(base...), days(now...))
+		d, err := Compare(resultsOf(base...), resultsOf(now...))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,14 +62,14 @@
 			t.Errorf("%+v, want %s", d[0], want)
 		}
 	}
-	if d, err := Compare(days(better...), days(base...)); err != nil || d[0].Verdict != Worse {
-		t.Errorf("base and now exchanged: %+v, %v", d, err)
+	if d, err := Compare(resultsOf(better...), resultsOf(base...)); err != nil || d[0].Verdict != Worse {
+		t.Errorf("base and now swapped: %+v, %v", d, err)
 	}
-	if d, err := Compare(days(base[:3]...), days(better[:3]...)); err != nil || d[0].Verdict != Same {
-		t.Errorf("of three days: %+v, %v", d, err)
+	if d, err := Compare(resultsOf(base[:3]...), resultsOf(better[:3]...)); err != nil || d[0].Verdict != Same {
+		t.Errorf("three runs: %+v, %v", d, err)
 	}
-	if _, err := Compare(days(base...), days(better[1:]...)); err == nil {
-		t.Error("results of different days were accepted")
+	if _, err := Compare(resultsOf(base...), resultsOf(better[1:]...)); err == nil {
+		t.Error("results with different seeds were accepted")
 	}
 }
 
@@ -83,11 +83,11 @@
 		{[]float64{1, 2, 2, 3}, []float64{1, 2, 2, 3}, 1},
 	} {
 		if got, err := Spearman(c.a, c.b); err != nil || math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%v and %v: %v, %v", c.a, c.b, got, err)
+			t.Errorf("correlation of %v and %v: %v, %v", c.a, c.b, got, err)
 		}
 	}
 	if _, err := Spearman([]float64{1}, []float64{2}); err == nil {
-		t.Error("a correlation of single figures was accepted")
+		t.Error("a correlation of a single pair was accepted")
 	}
 }
 
@@ -127,11 +127,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(loaded.Points[0].Results[2].Seconds, all[2].Seconds) || loaded.Scenario.Length != sc.Length {
-		t.Errorf("%v differs from what was saved", loaded)
+		t.Errorf("the loaded file %v differs from the saved one", loaded)
 	}
 }
 
-// earlyResender sends a call again without the retry guard after its connection was lost.
+// earlyResender is a faulty decider: it resends a call without the retry guard after its connection was lost.
 type earlyResender struct{ call.Decider }
 
 func (r earlyResender) Report(now call.Time, p admission.AttemptReport) admission.Decision {
@@ -142,7 +142,7 @@
 	return decision
 }
 
-// Of four faults only the one that causes the violation is left, and the run ends after the violation.
+// Of four faults Shrink keeps only the one that causes the violation, and it ends the run after the violation.
 func TestShrink(t *testing.T) {
 	sc := scenario.Default()
 	sc.Length = scenario.Duration(20 * time.Second)
--- a/internal/sim/experiment/file.go
+++ b/internal/sim/experiment/file.go
@@ -9,17 +9,17 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A File is the stored form of an experiment.
+// A File is an experiment as it is stored.
 type File struct {
 	Scenario *scenario.Scenario `json:"scenario"`
 	Commit   string             `json:"commit"`
 	Machine  string             `json:"machine"`
-	Vary     string             `json:"vary,omitempty"`   // key that a sweep varied
-	Beside   string             `json:"beside,omitempty"` // second key that it varied
+	Vary     string             `json:"vary,omitempty"`   // key that a sweep varies
+	Beside   string             `json:"beside,omitempty"` // second key that it varies
 	Points   []Point            `json:"points"`
 }
 
-// A Point is the results for one value of the varied key, or for a pair of values of both keys.
+// A Point holds the results for one value of the varied key, or for one pair of values of both keys.
 type Point struct {
 	Value   string           `json:"value,omitempty"`
 	Beside  string           `json:"beside,omitempty"` // value of the second key
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Load reads a file that Save wrote.
+// Load reads a file that was written by Save.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/sim/experiment/set.go
+++ b/internal/sim/experiment/set.go
@@ -11,11 +11,11 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// faultTable is the first part of a key that sets a value of a fault.
+// faultTable is the first element of a key that refers to a fault.
 const faultTable = "fault"
 
-// Set returns a copy of the scenario with one key changed, named as in the scenario's file ("callers.load").
-// Faults are counted from 1: "fault.2.factor". The copy is checked.
+// Set returns a checked copy of the scenario with one key changed. The key is named as in a scenario file
+// ("callers.load"); faults are numbered from 1 ("fault.2.factor").
 func Set(sc *scenario.Scenario, key, value string) (*scenario.Scenario, error) {
 	changed := *sc
 	changed.Class = slices.Clone(sc.Class)
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	if len(meta.Undecoded()) > 0 {
-		return nil, fmt.Errorf("%s: unknown key of a scenario", key)
+		return nil, fmt.Errorf("%s: unknown scenario key", key)
 	}
 	if err := changed.Check(); err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 	return &changed, nil
 }
 
-// decodeKey decodes a key and its value into the scenario as if they stood in its file.
+// decodeKey decodes a key and its value into the scenario as if they were in its file.
 func decodeKey(sc *scenario.Scenario, key, value string) (toml.MetaData, error) {
 	path := strings.Split(key, ".")
 	table, name := path[:len(path)-1], path[len(path)-1]
@@ -56,14 +56,14 @@
 	return meta, nil
 }
 
-// faultOf returns the fault that a key's path names: "fault", its number from 1, and the name of a value.
+// faultOf returns the fault to which a path refers: "fault", its number from 1, and the name of a parameter.
 func faultOf(sc *scenario.Scenario, key string, path []string) (*scenario.Fault, error) {
 	number := 0
 	if len(path) == 3 {
 		number, _ = strconv.Atoi(path[1])
 	}
 	if number < 1 || number > len(sc.Fault) {
-		return nil, fmt.Errorf("%s: the scenario has %d faults; the first is named like fault.1.factor",
+		return nil, fmt.Errorf("%s: no such fault: the scenario has %d; a key of the first is fault.1.factor",
 			key, len(sc.Fault))
 	}
 	return &sc.Fault[number-1], nil
--- a/internal/sim/experiment/shrink.go
+++ b/internal/sim/experiment/shrink.go
@@ -11,9 +11,9 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// Shrink removes faults from a scenario that violates an invariant with a seed, one after the other, as long as the
-// same invariant is violated, and then cuts the run short after the first violation. It returns nil if the scenario
-// violates no invariant. Once ctx is done it returns the smallest scenario found so far.
+// Shrink minimizes a scenario whose run with a seed violates an invariant. It removes one fault after the other as
+// long as the same invariant is still violated, and then shortens the run to end after the first violation. It returns
+// nil if the run violates no invariant, and the smallest scenario so far if ctx ends.
 func Shrink(
 	ctx context.Context, sc *scenario.Scenario, seed uint64, options virtualtime.Options,
 ) *scenario.Scenario {
@@ -36,7 +36,7 @@
 	return &s.smallest
 }
 
-// A shrinker holds the smallest scenario that is known to violate an invariant.
+// A shrinker holds the smallest scenario so far that violates the invariant.
 type shrinker struct {
 	seed      uint64
 	options   virtualtime.Options
@@ -46,7 +46,7 @@
 	result   *result.Result // of the smallest scenario
 }
 
-// try plays a smaller scenario and keeps it if it still violates the invariant.
+// try runs a smaller scenario and keeps it if it still violates the invariant.
 func (s *shrinker) try(candidate scenario.Scenario) bool {
 	r := virtualtime.Run(&candidate, s.seed, s.options)
 	if r.ViolationCounts[string(s.invariant)] == 0 {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// removeFault removes the first fault without which the invariant is still violated. It reports false if every
-// fault is needed.
+// removeFault removes the first fault without which the invariant is still violated. It reports whether there was
+// such a fault.
 func (s *shrinker) removeFault() bool {
 	for i := range s.smallest.Fault {
 		candidate := s.smallest
@@ -70,9 +70,10 @@
 	return false
 }
 
-// shorten ends the run in the second after the first violation, if that is early enough and suffices.
+// shorten ends the run at the full second after the first violation, if that is earlier than its end and the
+// invariant is still violated.
 func (s *shrinker) shorten() {
-	i := slices.IndexFunc(s.result.Violations, func(b *invariant.Violation) bool { return b.Rule == s.invariant })
+	i := slices.IndexFunc(s.result.Violations, func(v *invariant.Violation) bool { return v.Rule == s.invariant })
 	if i < 0 {
 		return
 	}
--- a/internal/sim/experiment/statistics.go
+++ b/internal/sim/experiment/statistics.go
@@ -9,11 +9,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// An Interval is the mean of a figure with its bootstrap confidence interval of 95%.
+// An Interval is the mean of a figure over a number of runs and its 95% bootstrap confidence interval.
 type Interval struct {
 	Mean, Low, High float64
-	Worst           float64 // of all days
-	Days            int
+	Worst           float64 // value of all runs
+	Days            int     // number of runs
 }
 
 // Parameters of the bootstrap.
@@ -21,11 +21,11 @@
 	resamples     = 2000
 	lowQuantile   = 0.025
 	highQuantile  = 0.975
-	bootstrapSeed = 1 // fixed, so that an interval is reproducible
+	bootstrapSeed = 1 // fixed, so that intervals are reproducible
 )
 
-// Bootstrap returns the mean of the values with its percentile bootstrap interval (Efron, 1979). The same values
-// always have the same interval. Without values it returns the zero Interval.
+// Bootstrap returns the mean of the values and its percentile bootstrap interval (Efron, 1979). It is deterministic:
+// the same values have the same interval. Without values it returns the zero Interval.
 func Bootstrap(values []float64, lessIsBetter bool) Interval {
 	if len(values) == 0 {
 		return Interval{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// resampleMeans returns the sorted means of samples drawn from the values with replacement.
+// resampleMeans draws samples from the values with replacement and returns their means, sorted.
 func resampleMeans(values []float64) []float64 {
 	rng := rand.New(rand.NewPCG(bootstrapSeed, uint64(len(values))))
 	means := make([]float64, resamples)
@@ -59,18 +59,18 @@
 	return means
 }
 
-// minCorrelated is the least number of pairs of a rank correlation.
-const minCorrelated = 3
+// minCorrelationPairs is the minimum number of pairs for a rank correlation.
+const minCorrelationPairs = 3
 
-// Spearman returns the rank correlation of two series of the same length; equal values share their mean rank.
+// Spearman returns Spearman's rank correlation of two series of the same length. Equal values get their mean rank.
 func Spearman(a, b []float64) (float64, error) {
-	if len(a) != len(b) || len(a) < minCorrelated {
-		return 0, fmt.Errorf("a rank correlation of %d and %d figures", len(a), len(b))
+	if len(a) != len(b) || len(a) < minCorrelationPairs {
+		return 0, fmt.Errorf("cannot compute a rank correlation of %d and %d values", len(a), len(b))
 	}
 	return stat.Correlation(ranks(a), ranks(b), nil), nil
 }
 
-// ranks returns the rank of each value, from 1; equal values have the mean of their ranks.
+// ranks returns the rank of each value, counted from 1. Equal values get the mean of their ranks.
 func ranks(values []float64) []float64 {
 	order := make([]int, len(values))
 	for i := range order {
@@ -79,7 +79,7 @@
 	slices.SortFunc(order, func(i, j int) int { return cmp.Compare(values[i], values[j]) })
 	result := make([]float64, len(values))
 	for first := 0; first < len(order); {
-		next := first // the first index past the values that equal this one
+		next := first // first index after the values that equal this one
 		for next < len(order) && values[order[next]] == values[order[first]] {
 			next++
 		}
