--- a/internal/sim/plot/chart.go
+++ b/internal/sim/plot/chart.go
@@ -12,7 +12,7 @@
 	"olivedale/internal/svg"
 )
 
-// A Curve is one line of a chart. Low and High, if not nil, are the confidence interval at each point.
+// A Curve is a line of a chart. Low and High, if not nil, are the bounds of the confidence interval at each point.
 type Curve struct {
 	Name      string
 	X, Y      []float64
@@ -20,7 +20,7 @@
 	Dashed    bool
 }
 
-// palette has colours that remain distinguishable in greyscale; curves take them in their order.
+// palette holds the colours of the curves in order. They remain distinguishable in greyscale.
 var palette = []color.RGBA{
 	{0, 90, 160, 255},
 	{200, 80, 0, 255},
@@ -46,13 +46,13 @@
 	legendPadding   = 3  // points
 	legendLineWidth = 24 // points
 
-	// rightMargin is the room for the last label of the x axis, as a share of the axis.
+	// rightMargin is the space for the last label of the x axis, as a share of the axis.
 	rightMargin = 0.04
-	// legendRowHeight is the room above the curves for a row of the legend, as a share of the y axis.
+	// legendRowHeight is the space above the curves for each row of the legend, as a share of the y axis.
 	legendRowHeight = 0.06
 )
 
-// Plot draws curves as a chart, an SVG element for a page.
+// Plot draws curves as a chart and returns it as an SVG element.
 func Plot(title, xLabel, yLabel string, curves []Curve) (template.HTML, error) {
 	chart := newChart(title, xLabel, yLabel)
 	for i, c := range curves {
@@ -81,7 +81,7 @@
 	return chart
 }
 
-// addCurve adds a curve, its error bars and its entry in the legend.
+// addCurve adds a curve with its error bars and its legend entry to a chart.
 func addCurve(chart *gonumplot.Plot, c Curve, shade color.RGBA) error {
 	points := make(plotter.XYs, len(c.X))
 	for i := range c.X {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// errorBars returns vertical bars from Low to High at the points of a curve.
+// errorBars returns vertical error bars from Low to High at the points of a curve.
 func errorBars(points plotter.XYs, c Curve) (*plotter.YErrorBars, error) {
 	errors := make(plotter.YErrors, len(points))
 	for i := range points {
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/sim/result"
 )
 
-// tableFigures are the columns of an experiment's table after the score, by the names of the figures.
+// tableFigures lists the figures, by name, and the headings of the columns after the score.
 var tableFigures = []struct{ name, heading string }{
 	{"service", "service"},
 	{"worst_10s", "worst 10 s"},
@@ -22,7 +22,7 @@
 	{"cold_sends", "slow start"},
 }
 
-// Of returns the section of a page that describes an experiment.
+// Of returns the section for an experiment.
 func Of(f *experiment.File) (Part, error) {
 	part := Part{
 		Title:   f.Scenario.Name,
@@ -54,9 +54,10 @@
 	return part, nil
 }
 
+// facts returns the parameters of an experiment as lines of text.
 func facts(f *experiment.File) []string {
 	sc := f.Scenario
-	size := fmt.Sprintf("%d controllers, %d exchanges in %d zones, %.0f calls a second planned, load %v (%s), %v",
+	size := fmt.Sprintf("%d controllers, %d exchanges in %d zones, %.0f calls per second planned, load %v (%s), %v",
 		sc.Fleet.Controllers, sc.Fleet.Exchanges, sc.Fleet.Zones, sc.Rate(), sc.Callers.Load, sc.Callers.Shape,
 		sc.Length.D())
 	lines := []string{size, fmt.Sprintf("commit %s; %s", f.Commit, f.Machine)}
@@ -74,7 +75,7 @@
 	if f.Beside != "" {
 		heading = append(heading, f.Beside)
 	}
-	heading = append(heading, "days", "score", "95%", "worst")
+	heading = append(heading, "runs", "score", "95%", "worst")
 	for _, column := range tableFigures {
 		heading = append(heading, column.heading)
 	}
@@ -108,7 +109,7 @@
 	return append(row, strconv.Itoa(violations)), nil
 }
 
-// formatFigure formats milliseconds without decimals, and other figures as Number does.
+// formatFigure formats milliseconds without decimals and other figures like Number.
 func formatFigure(name string, v float64) string {
 	if strings.HasSuffix(name, "_ms") {
 		return strconv.FormatFloat(v, 'f', 0, 64)
--- a/internal/sim/plot/experimentchart.go
+++ b/internal/sim/plot/experimentchart.go
@@ -9,14 +9,14 @@
 	"olivedale/internal/sim/result"
 )
 
-// chart is a chart of an experiment, whose curves are computed when it is drawn. One without curves is left out.
+// chart is a chart of an experiment. Its curves are computed when it is drawn; a chart without curves is left out.
 type chart struct {
 	title, xLabel, yLabel string
 	curves                func() ([]Curve, error)
 }
 
-// charts returns the charts that suit an experiment: figures against one or two varied keys, or the course of
-// the service where nothing varies.
+// charts returns the charts for an experiment: figures against one or two varied keys, or the service over time if no
+// key varies.
 func charts(f *experiment.File) []chart {
 	switch {
 	case f.Beside != "":
@@ -35,17 +35,17 @@
 	results := f.Points[0].Results
 	return []chart{
 		{
-			title: "service by second, mean of the days", xLabel: "s",
+			title: "service by second, mean of all runs", xLabel: "s",
 			curves: func() ([]Curve, error) { return []Curve{serviceBySecond(results)}, nil },
 		},
 		{
-			title: "attempts at exchanges in slow start, over their capacity", xLabel: "s since the start",
+			title: "attempts to exchanges in slow start, over their capacity", xLabel: "s since the start",
 			curves: func() ([]Curve, error) { return slowStartCurves(results), nil },
 		},
 	}
 }
 
-// sweepChart is a chart of figures against the varied key.
+// sweepChart returns a chart of figures against the varied key.
 func sweepChart(f *experiment.File, title, yLabel string, figures ...string) chart {
 	return chart{
 		title: title + " against " + f.Vary, xLabel: f.Vary, yLabel: yLabel,
@@ -63,7 +63,7 @@
 	}
 }
 
-// figureCurve returns a figure against the varied key. A value that is no number is drawn at its index.
+// figureCurve returns the curve of a figure against the varied key. A value that is not a number is drawn at its index.
 func figureCurve(points []experiment.Point, name string) (Curve, error) {
 	figure, err := result.FigureNamed(name)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return c, nil
 }
 
-// curvesBySecondKey returns a figure against the first of two varied keys, a curve for each value of the second.
+// curvesBySecondKey returns curves of a figure against the first of two varied keys, one for each value of the second.
 func curvesBySecondKey(f *experiment.File, name string) ([]Curve, error) {
 	var values []string
 	for _, point := range f.Points {
@@ -105,28 +105,28 @@
 	return curves, nil
 }
 
-// serviceBySecond returns the mean service of the days that offered calls in each second, up to the first second
-// without any.
+// serviceBySecond returns the curve of the mean service in each second, over the runs that offered calls in it. It ends
+// at the first second in which no run did.
 func serviceBySecond(results []*result.Result) Curve {
 	var c Curve
 	for second := 0; ; second++ {
-		sum, days := 0.0, 0
+		sum, runs := 0.0, 0
 		for _, r := range results {
 			isWithinRun := second < len(r.Seconds) && float64(second) < r.Length
 			if isWithinRun && r.Seconds[second] >= 0 {
 				sum += r.Seconds[second]
-				days++
+				runs++
 			}
 		}
-		if days == 0 {
+		if runs == 0 {
 			return c
 		}
 		c.X = append(c.X, float64(second))
-		c.Y = append(c.Y, sum/float64(days))
+		c.Y = append(c.Y, sum/float64(runs))
 	}
 }
 
-// slowStartCurves returns the load of exchanges in slow start, for as many as there are colours.
+// slowStartCurves returns the load of exchanges in slow start over time, at most one curve per colour of the palette.
 func slowStartCurves(results []*result.Result) []Curve {
 	var curves []Curve
 	for _, r := range results {
--- a/internal/sim/plot/page.go
+++ b/internal/sim/plot/page.go
@@ -1,6 +1,5 @@
-// Package plot draws charts of experiments and writes them with their tables as self-contained HTML pages: inline
-// SVG, no script and no reference to another resource. It computes no figures; internal/sim/result and
-// internal/sim/experiment do.
+// Package plot writes experiments as self-contained HTML pages with tables and charts: inline SVG, no scripts and no
+// references to other resources. The figures are computed by internal/sim/result and internal/sim/experiment.
 package plot
 
 import (
@@ -19,14 +18,14 @@
 // A Part is a section of a page.
 type Part struct {
 	Title   string
-	About   string // description below the title
-	Facts   []string
-	Heading []string // of the table
+	About   string   // description below the title
+	Facts   []string // list of parameters below the description
+	Heading []string // column headings of the table
 	Rows    [][]string
 	Plots   []template.HTML
 }
 
-// Page writes the parts as an HTML document.
+// Page writes an HTML document with the given sections.
 func Page(w io.Writer, title string, parts []Part) error {
 	document := struct {
 		Title string
@@ -38,5 +37,5 @@
 	return nil
 }
 
-// Number formats a figure for tables.
+// Number formats a figure with three decimals for tables.
 func Number(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
--- a/internal/sim/plot/plot_test.go
+++ b/internal/sim/plot/plot_test.go
@@ -12,7 +12,7 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// A page has all its charts and no reference to another resource, and escapes the texts of a scenario.
+// A page has all its charts, refers to no other resource and escapes the texts of a scenario.
 func TestPage(t *testing.T) {
 	sc := scenario.Default()
 	sc.Name = `<script>alert(1)</script>`
