--- a/internal/sim/sabourin/loadcontrol.go
+++ b/internal/sim/sabourin/loadcontrol.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Parameters of the paper's counting procedure (section 4.2).
+// Parameters of the load measurement in the paper (section 4.2).
 const (
 	period        = 100 * time.Millisecond
 	windowPeriods = 30 // 3 s
 )
 
-// loadControl estimates the load of the processor from the calls of a sliding window, at the end of each period,
-// and rejects kinds of calls while the estimate exceeds their threshold.
+// loadControl estimates the processor load at the end of each period from the calls in a sliding window, and rejects
+// the kinds of calls whose threshold the estimate exceeds.
 type loadControl struct {
 	thresholds   [urgent]float64 // by kind
 	acceptedCost float64         // seconds
@@ -18,10 +18,10 @@
 	window    [windowPeriods]callCount // ring buffer
 	current   int                      // index in the window of the current period
 	periodEnd time.Duration
-	admitted  kind // the first kind that is not rejected
+	admitted  kind // first kind that is not rejected
 }
 
-// callCount counts the calls of a period.
+// callCount holds the numbers of calls in a period.
 type callCount struct{ offered, accepted float64 }
 
 func newLoadControl(m Mix, rejectedCost time.Duration) *loadControl {
@@ -34,7 +34,7 @@
 	}
 }
 
-// advance ends the periods that end by a time.
+// advance processes the end of all periods up to now.
 func (c *loadControl) advance(now time.Duration) {
 	for ; c.periodEnd <= now; c.periodEnd += period {
 		c.admitted = c.firstAdmitted(c.estimate())
@@ -43,7 +43,7 @@
 	}
 }
 
-// estimate returns the load of the window, as a share of the processor's capacity.
+// estimate returns the load over the window as a share of the processor capacity.
 func (c *loadControl) estimate() float64 {
 	var sum callCount
 	for _, count := range c.window {
@@ -54,7 +54,7 @@
 	return work / (windowPeriods * period.Seconds())
 }
 
-// firstAdmitted returns the first kind of calls that is accepted at a load.
+// firstAdmitted returns the first kind of call that is accepted at a load.
 func (c *loadControl) firstAdmitted(load float64) kind {
 	switch {
 	case load > c.thresholds[incoming]:
--- a/internal/sim/sabourin/mix.go
+++ b/internal/sim/sabourin/mix.go
@@ -1,24 +1,24 @@
 // Package sabourin reproduces the curves of Sabourin's paper "Overload control in a distributed switching system with
-// call priorities" (ITC-13), on which the design of the admission control is based: handled load against offered load,
-// by the paper's theory and by a simulation of the emulated exchange with the paper's counting procedure. It takes no
-// part in the product's decisions.
+// call priorities" (ITC-13), on which the design of the admission control is based. It computes the handled load
+// against the offered load by the theory of the paper, and by a simulation of the emulated exchange with the load
+// measurement of the paper. Controllers do not use it.
 package sabourin
 
-// kind is a kind of call in the order of rejection: the first is rejected first.
+// kind is a kind of call. Kinds are ordered by priority: the first is rejected first.
 type kind int
 
 const (
 	outgoing kind = iota // non-urgent, rejected above the first threshold
 	incoming             // non-urgent, rejected above the second threshold
 	urgent               // never rejected
-	kinds
+	kinds                // number of kinds
 )
 
 // A Mix is the traffic offered to a processor and the thresholds of its overload control.
 type Mix struct {
-	Share  [kinds]float64 // of the calls: outgoing, incoming, urgent
+	Share  [kinds]float64 // shares of outgoing, incoming and urgent calls
 	Reject float64        // processing time of a rejected call over that of an accepted one
-	S1, S2 float64        // load from which outgoing calls are rejected, and incoming ones as well
+	S1, S2 float64        // load thresholds for the rejection of outgoing calls, and of incoming ones
 }
 
 // A Load is the load of a processor, as a share of its capacity.
@@ -27,16 +27,18 @@
 	Total   float64 // by accepted and rejected calls
 }
 
-// Paper returns the paper's mix for a relative cost of rejections: thresholds of 0.8 and 0.9. The paper considers
-// costs of 0 (its ideal) and of 30 to 50%. It does not state the shares of the kinds; these are the project's.
+// Paper returns the mix of the paper, with thresholds of 0.8 and 0.9, for a relative cost of rejections. The paper
+// considers costs of 0 (the ideal case) and of 30 to 50%. It does not specify the shares of the kinds; the ones here
+// are assumptions.
 func Paper(reject float64) Mix {
 	return Mix{Share: [kinds]float64{0.5, 0.4, 0.1}, Reject: reject, S1: 0.8, S2: 0.9}
 }
 
-// Theory returns the load for an offered load in steady state (section 3 of the paper): the total load is held at
-// S1 by the rejection of outgoing calls, then at S2 by that of incoming ones, and grows from there on.
+// Theory returns the steady-state load for an offered load (section 3 of the paper). As the offered load grows, the
+// rejection of outgoing calls holds the total load at S1, then that of incoming ones holds it at S2; beyond that it
+// grows.
 func (m Mix) Theory(offered float64) Load {
-	rejected := 0.0 // share of all calls, of the kinds that are rejected completely
+	rejected := 0.0 // share of the calls whose kinds are rejected completely
 	for i, threshold := range []float64{m.S1, m.S2} {
 		if total := m.total(offered, rejected); total <= threshold {
 			return Load{Handled: offered * (1 - rejected), Total: total}
@@ -50,13 +52,13 @@
 	return Load{Handled: offered * (1 - rejected), Total: m.total(offered, rejected)}
 }
 
-// total returns the total load if a share of the offered calls is rejected.
+// total returns the total load if the given share of the offered calls is rejected.
 func (m Mix) total(offered, rejected float64) float64 {
 	return offered * (1 - rejected*(1-m.Reject))
 }
 
-// Collapse returns the offered load from which the total load exceeds S2 although all calls but the urgent ones
-// are rejected. Beyond it the total load grows without bound.
+// Collapse returns the offered load above which the total load exceeds S2 even though only urgent calls are accepted.
+// Beyond it the total load grows without bound.
 func (m Mix) Collapse() float64 {
 	rejected := m.Share[outgoing] + m.Share[incoming]
 	return m.S2 / (1 - rejected*(1-m.Reject))
--- a/internal/sim/sabourin/mix_test.go
+++ b/internal/sim/sabourin/mix_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The simulated loads are those of the theory but for the bends at the thresholds, where the paper says
-// that they differ ("apart from critical points like threshold changes").
+// The simulated loads match the theory except near the thresholds, where the paper also finds differences
+// ("apart from critical points like threshold changes").
 func TestSimulationMatchesTheory(t *testing.T) {
 	t.Parallel()
 	for _, reject := range []float64{0, 0.3, 0.5} {
@@ -16,7 +16,7 @@
 			theory := m.Theory(offered)
 			simulated := m.Run(offered, 400*time.Second, 5)
 			if theory.Total > 1 {
-				continue // no steady state beyond collapse: the queue grows without bound
+				continue // beyond collapse there is no steady state: the queue grows without bound
 			}
 			t.Logf("rejected calls cost %v, offered %.1f: simulated %.3f, theory %.3f", reject, offered, simulated, theory)
 			isNearThreshold := math.Abs(theory.Total-m.S1) < 0.05 || math.Abs(theory.Total-m.S2) < 0.05
@@ -33,23 +33,23 @@
 	}
 }
 
-// Where rejections are free the handled load stays, whatever is offered. Where they cost 30 to 50% it falls as more
-// is offered, and the sooner, the more they cost.
+// If rejections are free, the handled load does not depend on the offered load. If they cost 30 to 50% of a call, it
+// falls as the offered load grows, and earlier the more they cost.
 func TestCostOfRejections(t *testing.T) {
 	t.Parallel()
 	free, costly, costlier := Paper(0), Paper(0.3), Paper(0.5)
 	if handled := free.Theory(1.5).Handled; math.Abs(handled-0.9) > 0.1 {
-		t.Errorf("ideal: handled %.3f at 1.5", handled)
+		t.Errorf("free rejections: handled %.3f at an offered load of 1.5, want 0.9", handled)
 	}
 	for _, offered := range []float64{1.2, 1.6, 2, 2.4} {
 		a := free.Theory(offered).Handled
 		b := costly.Theory(offered).Handled
 		c := costlier.Theory(offered).Handled
 		if a < b || b < c {
-			t.Errorf("at %.1f: %.3f, %.3f, %.3f handled for costs 0, 0.3, 0.5", offered, a, b, c)
+			t.Errorf("offered %.1f: handled %.3f, %.3f, %.3f for rejection costs 0, 0.3, 0.5", offered, a, b, c)
 		}
 	}
 	if costly.Collapse() <= costlier.Collapse() {
-		t.Errorf("collapse at %.2f and %.2f", costly.Collapse(), costlier.Collapse())
+		t.Errorf("collapse at %.2f and %.2f for rejection costs 0.3, 0.5", costly.Collapse(), costlier.Collapse())
 	}
 }
--- a/internal/sim/sabourin/simulate.go
+++ b/internal/sim/sabourin/simulate.go
@@ -7,20 +7,20 @@
 	"olivedale/internal/sim/exchange"
 )
 
-// acceptedCost is the processing time of an accepted call. All of it falls on the set-up.
+// acceptedCost is the processing time of an accepted call, all of which is spent on the set-up.
 const acceptedCost = 10 * time.Millisecond
 
-// Settings of the emulated exchange that the paper does not state.
+// Settings of the emulated exchange that the paper does not specify.
 const (
 	serviceTimeVariation = 0.3     // coefficient of variation
-	unlimitedCircuits    = 1 << 30 // circuits are no bottleneck
+	unlimitedCircuits    = 1 << 30 // so that circuits are not a bottleneck
 	callDuration         = time.Millisecond
 )
 
-// warmUpDivisor is the part of a simulation, one in so many, that is left out of the measurement.
+// warmUpDivisor is the ratio of the length of a simulation to that of its warm-up, which is not measured.
 const warmUpDivisor = 5
 
-// Run simulates a processor with the mix for a length of time and measures its load after a warm-up.
+// Run simulates a processor with the mix for the given length of time and returns its load after the warm-up.
 func (m Mix) Run(offered float64, length time.Duration, seed uint64) Load {
 	s := newSimulation(m, seed)
 	rate := offered / acceptedCost.Seconds()
@@ -50,10 +50,10 @@
 	control   *loadControl
 
 	now      time.Duration
-	offered  int // calls, of which each has its number
+	offered  int // number of calls; also the attempt number of the next call
 	accepted int
 
-	// State at the end of the warm-up; workAtStart is zero until then.
+	// Values at the end of the warm-up; workAtStart is zero until then.
 	workAtStart     time.Duration
 	acceptedAtStart int
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// runProcessor has the exchange process its events up to now, and drops its answers.
+// runProcessor processes the events of the exchange up to now and discards its answers.
 func (s *simulation) runProcessor() {
 	for due := s.processor.NextDeadline(); due <= s.now; due = s.processor.NextDeadline() {
 		s.processor.Tick(due)
@@ -83,7 +83,7 @@
 	}
 }
 
-// drawKind draws the kind of the next call by the shares of the mix.
+// drawKind draws the kind of the next call according to the shares of the mix.
 func (s *simulation) drawKind() kind {
 	k, draw := outgoing, s.rng.Float64()
 	for k < urgent && draw >= s.mix.Share[k] {
@@ -93,7 +93,7 @@
 	return k
 }
 
-// offer sends a call to the processor if the control accepts its kind, and a rejection otherwise.
+// offer adds the work of a call to the processor, or of its rejection if the load control rejects its kind.
 func (s *simulation) offer(k kind) {
 	attempt := exchange.Attempt{Number: s.offered}
 	s.offered++
