--- a/internal/sim/revision/overlay.go
+++ b/internal/sim/revision/overlay.go
@@ -11,8 +11,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// simulatorPaths are the files and directories that a build takes from today's work tree: the simulator,
-// and the packages that it needs in today's form.
+// simulatorPaths lists the files and directories that a build takes from the repository's work tree: the simulator and
+// the packages that it needs in their current version.
 var simulatorPaths = []string{
 	"internal/sim",
 	programPackage,
@@ -23,10 +23,10 @@
 	"go.sum",
 }
 
-// deployFile lists, among others, the files of the decision module.
+// deployFile lists the files of the decision module, under the key "policy".
 const deployFile = "deploy/balancer.toml"
 
-// overlaySimulator replaces the simulator in a work tree by that of the repository.
+// overlaySimulator replaces the simulator in a work tree with that of the repository.
 func overlaySimulator(repository, tree string) error {
 	for _, path := range simulatorPaths {
 		if err := replacePath(filepath.Join(repository, path), filepath.Join(tree, path)); err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// replacePath replaces a file or directory by a copy of another, without the tests in it.
+// replacePath replaces a file or directory with a copy of another. It does not copy the tests of a directory.
 func replacePath(from, to string) error {
 	info, err := os.Stat(from)
 	if err != nil {
@@ -76,16 +76,16 @@
 	return os.WriteFile(to, content, 0o644)
 }
 
-// replacePolicy replaces the decision module in a work tree by that of a commit. Each of the two may consist of
-// other files than the other.
+// replacePolicy replaces the decision module in a work tree with that of a commit. The two may consist of different
+// files.
 func replacePolicy(ctx context.Context, tree, commit string) error {
 	current, err := os.ReadFile(filepath.Join(tree, deployFile))
 	if err != nil {
-		return fmt.Errorf("list the files of today's decision module: %w", err)
+		return fmt.Errorf("list the files of the current decision module: %w", err)
 	}
 	currentFiles, err := policyFiles(string(current))
 	if err != nil {
-		return fmt.Errorf("list the files of today's decision module: %w", err)
+		return fmt.Errorf("list the files of the current decision module: %w", err)
 	}
 	earlier, err := git(ctx, tree, "show", commit+":"+deployFile)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return err
 }
 
-// policyFiles returns the paths of the decision module in the text of a deploy file.
+// policyFiles returns the paths of the files of the decision module, given the text of a deploy file.
 func policyFiles(deployText string) ([]string, error) {
 	var deploy struct {
 		Policy []string `toml:"policy"`
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("%s: %w", deployFile, err)
 	}
 	if len(deploy.Policy) == 0 {
-		return nil, fmt.Errorf("%s: policy names no file", deployFile)
+		return nil, fmt.Errorf("%s: policy lists no files", deployFile)
 	}
 	return deploy.Policy, nil
 }
--- a/internal/sim/revision/revision.go
+++ b/internal/sim/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision builds the simulator's program, cmd/olivesim, at an earlier commit of the repository, so that
-// two versions of the product can play the same days. It builds in a work tree of its own and leaves the
-// repository's work tree and index as they are.
+// Package revision builds cmd/olivesim with the product of an earlier commit of the repository, so that two versions
+// of the product can run the same scenarios and seeds. It builds in a separate git work tree and does not change the
+// repository's own work tree and index.
 package revision
 
 import (
@@ -14,47 +14,47 @@
 	"strings"
 )
 
-// programPackage is the directory of the simulation's program.
+// programPackage is the directory of the simulator's command.
 const programPackage = "cmd/olivesim"
 
-// formerProgramPackage is that directory in commits from before the program got its name.
+// formerProgramPackage is the directory of the command in commits from before it was renamed.
 const formerProgramPackage = "cmd/olivelab"
 
-// maxBuildOutput bounds the part of a failed build's output that an error quotes, in bytes.
+// maxBuildOutput is the maximum number of bytes of a failed build's output that an error includes.
 const maxBuildOutput = 2000
 
-// Method is the way in which a program is made of an earlier commit.
+// Method says which simulator is built with the product of a commit.
 type Method int
 
 const (
-	// CurrentSimulator puts the simulator's packages of the repository's work tree around the commit's product.
+	// CurrentSimulator builds the product of the commit with the simulator of the repository's work tree.
 	CurrentSimulator Method = iota
-	// OwnSimulator builds the commit's own program. It serves commits from before a change of the module path,
-	// whose packages today's simulator cannot import.
+	// OwnSimulator builds the product of the commit with the simulator of the commit. It is used for commits with
+	// another module path, whose packages the current simulator cannot import.
 	OwnSimulator
 )
 
-// String describes the method for messages.
+// String describes the method in messages.
 func (m Method) String() string {
 	switch m {
 	case CurrentSimulator:
-		return "built with today's simulator"
+		return "built with the current simulator"
 	case OwnSimulator:
-		return "built with its own simulator, since its module path differs from today's"
+		return "built with its own simulator, since its module path differs from the current one"
 	default:
 		return fmt.Sprintf("Method(%d)", int(m))
 	}
 }
 
-// Options say what to build.
+// Options specify what to build.
 type Options struct {
-	Repository string // a directory of the repository
+	Repository string // any directory in the repository
 	Revision   string // a commit, branch or tag
-	// PolicyOnly takes only the decision module from the revision, and all else of the product from HEAD.
+	// PolicyOnly takes only the decision module from the revision and the rest of the product from HEAD.
 	PolicyOnly bool
 }
 
-// A ModulePathError says that the decision module of a commit cannot be built into today's product, because
+// A ModulePathError reports that the decision module of a commit cannot be built into the current product, because
 // the two have different module paths.
 type ModulePathError struct {
 	Commit  string // hash
@@ -62,24 +62,24 @@
 	Current string // module path of the repository's work tree
 }
 
-// Error names both paths and the alternative.
+// Error implements error. The message names the alternative.
 func (e *ModulePathError) Error() string {
-	return fmt.Sprintf("the decision module of %.12s cannot be built into today's product: its module path is %s, "+
-		"today's is %s; compare with the whole commit instead (without --module)", e.Commit, e.Path, e.Current)
+	return fmt.Sprintf("the decision module of %.12s cannot be built into the current product: its module path is %s, "+
+		"the current one is %s; compare with the whole commit instead (without --module)", e.Commit, e.Path, e.Current)
 }
 
-// A Build is a program made of an earlier commit. Remove deletes it.
+// A Build is a program that was built from an earlier commit. Remove deletes it.
 type Build struct {
 	Program string // path of the executable file
 	Commit  string // hash
 	Method  Method
 
 	repository string // top directory of the repository
-	directory  string // holds the program and the work tree
+	directory  string // contains the program and the work tree
 }
 
-// New builds the program of a revision. It takes today's simulator if the revision has today's module path,
-// and the revision's own otherwise; with PolicyOnly, another module path is a *ModulePathError.
+// New builds the program for a revision, with the current simulator if the revision has the current module path and
+// with its own simulator otherwise. With PolicyOnly, a different module path causes a *ModulePathError.
 func New(ctx context.Context, o Options) (*Build, error) {
 	top, err := git(ctx, o.Repository, "rev-parse", "--show-toplevel")
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	commit, err := git(ctx, top, "rev-parse", "--verify", o.Revision+"^{commit}")
 	if err != nil {
-		return nil, fmt.Errorf("%q names no commit: %w", o.Revision, err)
+		return nil, fmt.Errorf("%q is not a commit: %w", o.Revision, err)
 	}
 	method, err := chooseMethod(ctx, top, commit, o.PolicyOnly)
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	directory, err := os.MkdirTemp("", "olivesim-revision-")
 	if err != nil {
-		return nil, fmt.Errorf("make a directory for the build: %w", err)
+		return nil, fmt.Errorf("create a directory for the build: %w", err)
 	}
 	b := &Build{
 		Program:    filepath.Join(directory, "olivesim"),
@@ -110,7 +110,7 @@
 	return b, nil
 }
 
-// Remove deletes the program and its work tree.
+// Remove deletes the program and the work tree.
 func (b *Build) Remove() error {
 	var worktreeErr error
 	if _, err := os.Stat(b.tree()); err == nil {
@@ -119,11 +119,11 @@
 	return errors.Join(worktreeErr, os.RemoveAll(b.directory))
 }
 
-// chooseMethod compares the module path of the commit with that of the repository's work tree.
+// chooseMethod chooses the method by comparing the module path of the commit with the current one.
 func chooseMethod(ctx context.Context, top, commit string, policyOnly bool) (Method, error) {
 	currentFile, err := os.ReadFile(filepath.Join(top, "go.mod"))
 	if err != nil {
-		return 0, fmt.Errorf("read today's module path: %w", err)
+		return 0, fmt.Errorf("read the current module path: %w", err)
 	}
 	commitFile, err := git(ctx, top, "show", commit+":go.mod")
 	if err != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// modulePath returns the module path in the text of a go.mod file, or "" if it has none.
+// modulePath returns the module path, given the text of a go.mod file, or "" if there is none.
 func modulePath(goMod string) string {
 	for line := range strings.Lines(goMod) {
 		fields := strings.Fields(line)
@@ -153,7 +153,7 @@
 
 func (b *Build) tree() string { return filepath.Join(b.directory, "tree") }
 
-// make checks out the work tree and builds the program in it.
+// make creates the work tree and builds the program in it.
 func (b *Build) make(ctx context.Context, policyOnly bool) error {
 	checkout := b.Commit
 	if policyOnly {
@@ -171,13 +171,13 @@
 		}
 	}
 	if err := overlaySimulator(b.repository, b.tree()); err != nil {
-		return fmt.Errorf("put today's simulator around %.12s: %w", b.Commit, err)
+		return fmt.Errorf("copy the current simulator to %.12s: %w", b.Commit, err)
 	}
-	// The go.mod of today may lack what only the commit's product requires: -mod=mod adds it.
+	// The current go.mod may lack modules that only the product of the commit requires; -mod=mod adds them.
 	return b.compile(ctx, programPackage, "-mod=mod")
 }
 
-// compileOwn builds the program that the commit itself has.
+// compileOwn builds the simulator of the commit itself.
 func (b *Build) compileOwn(ctx context.Context) error {
 	for _, program := range []string{programPackage, formerProgramPackage} {
 		_, err := os.Stat(filepath.Join(b.tree(), program))
@@ -188,10 +188,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%.12s has no simulator (%s): compare with a later commit", b.Commit, programPackage)
+	return fmt.Errorf("%.12s has no simulator (%s); compare with a later commit", b.Commit, programPackage)
 }
 
-// compile builds a program in the work tree, with more flags of go build.
+// compile builds a program in the work tree, with additional flags for go build.
 func (b *Build) compile(ctx context.Context, program string, flags ...string) error {
 	args := append([]string{"build"}, flags...)
 	args = append(args, "-o", b.Program, "./"+program)
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// git runs git in a directory and returns what it prints, without white space around it.
+// git runs git in a directory and returns its output without surrounding white space.
 func git(ctx context.Context, directory string, args ...string) (string, error) {
 	command := exec.CommandContext(ctx, "git", args...)
 	command.Dir = directory
--- a/internal/sim/revision/revision_test.go
+++ b/internal/sim/revision/revision_test.go
@@ -12,14 +12,14 @@
 	"olivedale/internal/sim/revision/revisiontest"
 )
 
-// version is the content of a commit: a product and a simulator that print their labels.
+// version defines the content of a commit: a product and a simulator whose program prints their labels.
 type version struct {
 	modulePath  string
 	label       string
-	policyFiles []string // of the decision module; the first has its label
+	policyFiles []string // of the decision module; the first contains the label
 }
 
-// files returns the version as files by path.
+// files returns the contents of the files of the version by path.
 func (v version) files() map[string]string {
 	files := map[string]string{
 		"go.mod":                      "module " + v.modulePath + "\n\ngo 1.26.0\n",
@@ -27,8 +27,8 @@
 		"internal/cli/cli.go":         "package cli\n",
 		"internal/logging/logging.go": "package logging\n",
 		"internal/svg/svg.go":         "package svg\n",
-		"internal/sim/lab.go":         fmt.Sprintf("package sim\n\nconst Label = %q\n", v.label),
-		"internal/sim/lab_test.go":    "package sim\n\nthis is copied by mistake",
+		"internal/sim/sim.go":         fmt.Sprintf("package sim\n\nconst Label = %q\n", v.label),
+		"internal/sim/sim_test.go":    "package sim\n\nthis must not be copied",
 		"internal/call/call.go":       fmt.Sprintf("package call\n\nconst Label = %q\n", v.label),
 		"cmd/olivesim/main.go": strings.ReplaceAll(`package main
 
@@ -40,7 +40,7 @@
 	"PATH/internal/sim"
 )
 
-func main() { fmt.Println("lab", sim.Label, "core", call.Label, "policy", admission.Label) }
+func main() { fmt.Println("simulator", sim.Label, "product", call.Label, "policy", admission.Label) }
 `, "PATH", v.modulePath),
 	}
 	var list []string
@@ -74,20 +74,20 @@
 			name:       "same module path",
 			earlier:    version{"fixture", "old", controllerFile},
 			wantMethod: CurrentSimulator,
-			wantOutput: "lab new core old policy old",
+			wantOutput: "simulator new product old policy old",
 		},
 		{
-			name:       "decision module alone, in other files",
+			name:       "decision module only, in different files",
 			earlier:    version{"fixture", "old", controllerFile},
 			policyOnly: true,
 			wantMethod: CurrentSimulator,
-			wantOutput: "lab new core new policy old",
+			wantOutput: "simulator new product new policy old",
 		},
 		{
-			name:       "other module path",
+			name:       "different module path",
 			earlier:    version{"formerly", "old", controllerFile},
 			wantMethod: OwnSimulator,
-			wantOutput: "lab old core old policy old",
+			wantOutput: "simulator old product old policy old",
 		},
 	}
 	for _, test := range tests {
@@ -118,9 +118,9 @@
 				t.Error(err)
 			}
 			if _, err := os.Stat(filepath.Dir(build.Program)); !errors.Is(err, os.ErrNotExist) {
-				t.Errorf("the build's directory is left: %v", err)
+				t.Errorf("Remove left the directory of the build: %v", err)
 			}
-			checkUntouched(t, repository)
+			checkUnchanged(t, repository)
 		})
 	}
 }
@@ -139,11 +139,11 @@
 		policyOnly bool
 		want       string
 	}{
-		{"no such commit", withoutPolicy, "nowhere", false, `"nowhere" names no commit`},
+		{"no such commit", withoutPolicy, "nowhere", false, `"nowhere" is not a commit`},
 		{"no simulator", withoutSimulator, "HEAD~1", false, "has no simulator (cmd/olivesim)"},
-		{"does not compile", broken, "HEAD~1", false, "built with today's simulator, does not compile"},
-		{"no policy files", withoutPolicy, "HEAD~1", true, "policy names no file"},
-		{"decision module of another module path", withoutSimulator, "HEAD~1", true, "without --module"},
+		{"does not compile", broken, "HEAD~1", false, "built with the current simulator, does not compile"},
+		{"no policy files", withoutPolicy, "HEAD~1", true, "policy lists no files"},
+		{"decision module with a different module path", withoutSimulator, "HEAD~1", true, "without --module"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -161,9 +161,9 @@
 			}
 			var pathError *ModulePathError
 			if isPathError := errors.As(err, &pathError); isPathError != (test.want == "without --module") {
-				t.Errorf("error %v is a ModulePathError: %v", err, isPathError)
+				t.Errorf("error %v: is a ModulePathError: %v", err, isPathError)
 			}
-			checkUntouched(t, repository)
+			checkUnchanged(t, repository)
 		})
 	}
 }
@@ -181,11 +181,11 @@
 	}
 }
 
-// checkUntouched checks that a build left no work tree behind and changed nothing in the repository.
-func checkUntouched(t *testing.T, repository *revisiontest.Repository) {
+// checkUnchanged checks that a build left no git work tree behind and did not change the repository.
+func checkUnchanged(t *testing.T, repository *revisiontest.Repository) {
 	t.Helper()
 	if trees := repository.Git("worktree", "list"); strings.Count(trees, "\n") != 0 {
-		t.Errorf("work trees are left:\n%s", trees)
+		t.Errorf("git work trees were left behind:\n%s", trees)
 	}
 	if status := repository.Git("status", "--porcelain"); status != "" {
 		t.Errorf("the repository was changed:\n%s", status)
--- a/internal/sim/revision/revisiontest/repository.go
+++ b/internal/sim/revision/revisiontest/repository.go
@@ -1,4 +1,4 @@
-// Package revisiontest makes small git repositories for tests of package revision and of what uses it.
+// Package revisiontest creates git repositories for tests of package revision and of its users.
 package revisiontest
 
 import (
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// A Repository is a git repository in a temporary directory of a test.
+// A Repository is a git repository in the temporary directory of a test.
 type Repository struct {
 	Dir string
 	t   testing.TB
 }
 
-// New makes an empty repository, which is removed with the test.
+// New creates an empty repository, which is removed when the test ends.
 func New(t testing.TB) *Repository {
 	t.Helper()
 	r := &Repository{Dir: t.TempDir(), t: t}
@@ -23,7 +23,7 @@
 	return r
 }
 
-// Commit makes the files, by path, the whole content of the next commit, and returns its hash.
+// Commit creates a commit that contains exactly the given files, by path, and returns its hash.
 func (r *Repository) Commit(files map[string]string) string {
 	r.t.Helper()
 	r.Git("rm", "-r", "-f", "--quiet", "--ignore-unmatch", "--", ".")
@@ -42,7 +42,7 @@
 	return r.Git("rev-parse", "HEAD")
 }
 
-// Git runs git in the repository and returns its output, without white space around it.
+// Git runs git in the repository and returns its output without surrounding white space.
 func (r *Repository) Git(args ...string) string {
 	r.t.Helper()
 	command := exec.CommandContext(r.t.Context(), "git", args...)
