--- a/internal/sim/demo/demo.go
+++ b/internal/sim/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the product on one machine for a minute: emulated exchanges and name service, a stand-in of etcd,
-// the agent, controllers that it starts, and a light load, with a few faults. It ends by itself, or with its context,
-// and leaves nothing running. It never measures anything.
+// Package demo demonstrates the product on one machine: it runs the agent and the controllers that it starts with
+// emulated exchanges, an emulated name service and etcd, and a light load, and injects a few faults. The demonstration
+// ends after a set time or with its context and leaves no process running. It is not a benchmark.
 package demo
 
 import (
@@ -19,27 +19,27 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// Options say what Run starts.
+// Options configure a demonstration.
 type Options struct {
-	Bin         string // folder of olivedale, oliveagent and olivectl
-	Dir         string // for the files; "": one that is removed after
-	Report      string // file for the report; "": none
-	Agent       string // address for olivectl
+	Bin         string // directory with olivedale, oliveagent and olivectl
+	Dir         string // for files; "": a temporary directory
+	Report      string // file name of the report; "": no report
+	Agent       string // address of the agent for olivectl
 	Controllers int
 	Exchanges   int
-	Rate        float64 // calls a second
-	For         time.Duration
+	Rate        float64       // calls per second
+	For         time.Duration // duration of the load
 	Seed        uint64
-	Out         io.Writer
+	Out         io.Writer // for progress
 }
 
-// instancePrefix is the prefix of desired instances in etcd.
+// instancePrefix is the etcd key prefix of the specifications of controllers.
 const instancePrefix = "/olivedale/instances/"
 
 // zoneName is the zone of all exchanges.
 const zoneName = "east"
 
-// A demo is a demonstration that runs.
+// A demo is the state of a demonstration.
 type demo struct {
 	options    Options
 	dir        string
@@ -56,7 +56,7 @@
 	startTime  time.Time
 }
 
-// Run runs the demonstration. It returns when everything that it started has ended.
+// Run runs the demonstration. It returns after all that it started has ended.
 func Run(ctx context.Context, o Options) (err error) {
 	if err := checkPrograms(o.Bin); err != nil {
 		return err
@@ -80,7 +80,7 @@
 func checkPrograms(dir string) error {
 	for _, name := range []string{"olivedale", "oliveagent", "olivectl"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
-			return fmt.Errorf("demo: %s is not in %s; build it first: make build", name, dir)
+			return fmt.Errorf("demo: %s is missing in %s; build it with make build", name, dir)
 		}
 	}
 	return nil
@@ -99,7 +99,7 @@
 	return d
 }
 
-// makeDir makes the folder for files. remove removes it if it is a temporary one.
+// makeDir creates the directory for files. The returned function removes it if it is a temporary one.
 func (d *demo) makeDir() (remove func() error, err error) {
 	remove = func() error { return nil }
 	if d.dir == "" {
@@ -121,13 +121,13 @@
 	return remove, nil
 }
 
-// logf writes a line of progress, with the time since the start.
+// logf prints a progress message with the time since the start.
 func (d *demo) logf(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	_, _ = fmt.Fprintf(d.options.Out, "%5.1fs  %s\n", time.Since(d.startTime).Seconds(), text)
 }
 
-// stop ends everything that runs.
+// stop stops the agent, the exchanges, the name service and etcd, and closes the log.
 func (d *demo) stop() error {
 	err := d.stopAgent()
 	for _, x := range d.exchanges {
--- a/internal/sim/demo/demo_test.go
+++ b/internal/sim/demo/demo_test.go
@@ -14,8 +14,8 @@
 	"olivedale/internal/sim/cluster"
 )
 
-// TestDemo checks that the demonstration runs to its end, writes what happened, makes its report and leaves nothing
-// running, and that it does the same when its context ends early.
+// TestDemo checks that the demonstration runs to its end, prints its progress, writes its report and leaves no process
+// running, also when its context ends early.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -23,7 +23,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	if err := Run(context.Background(), Options{Bin: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "make build") {
-		t.Errorf("without programs: %v", err)
+		t.Errorf("without the programs: error %v, want one that mentions make build", err)
 	}
 	run := func(ctx context.Context, length time.Duration) (string, string) {
 		t.Helper()
@@ -38,22 +38,22 @@
 		}
 		if c, err := net.DialTimeout("tcp", agent, 200*time.Millisecond); err == nil {
 			_ = c.Close()
-			t.Error("the agent still listens")
+			t.Error("the agent is still listening")
 		}
 		return out.String(), report
 	}
 	output, report := run(context.Background(), 5*time.Second)
-	for _, want := range []string{"three times slower", "drains", "is killed", "are cut", "have stopped", "the report is"} {
+	for _, want := range []string{"three times slower", "drains", "is killed", "are dropped", "have stopped", "the report is"} {
 		if !strings.Contains(output, want) {
 			t.Errorf("the output lacks %q:\n%s", want, output)
 		}
 	}
 	if page, err := os.ReadFile(report); err != nil || !bytes.Contains(page, []byte("</html>")) {
-		t.Errorf("the report: %v", err)
+		t.Errorf("the report is missing or incomplete: %v", err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	if output, _ := run(ctx, time.Minute); !strings.Contains(output, "have stopped") {
-		t.Errorf("ended early:\n%s", output)
+		t.Errorf("the output of a run that ended early lacks \"have stopped\":\n%s", output)
 	}
 }
--- a/internal/sim/demo/play.go
+++ b/internal/sim/demo/play.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// callerTimeout is how long callers wait for the final answer.
+	// callerTimeout is the time that callers wait for the final answer.
 	callerTimeout = 3 * time.Second
-	// minStatsInterval bounds how often statistics are written.
+	// minStatsInterval is the minimum interval between lines of statistics.
 	minStatsInterval = 500 * time.Millisecond
 	agentTimeout     = 2 * time.Second
 	slowdownFactor   = 3
 )
 
-// A fault is injected at a time since the load began.
+// A fault is injected at a time after the start of the load.
 type fault struct {
 	at     time.Duration
 	inject func() error
 }
 
-// play offers calls and injects the faults.
+// play generates the load and injects the faults.
 func (d *demo) play(ctx context.Context) error {
 	load := &loopback.Load{
 		Addrs:         d.listen,
@@ -45,12 +45,12 @@
 	done := make(chan error, 1)
 	go func() { done <- load.Run(ctx) }()
 	d.logHints()
-	part := d.options.For / 5
+	interval := d.options.For / 5
 	faults := []fault{
-		{part, d.slowDown},
-		{2 * part, d.replaceExchange},
-		{3 * part, d.killController},
-		{4 * part, d.dropCalls},
+		{interval, d.slowDown},
+		{2 * interval, d.replaceExchange},
+		{3 * interval, d.killController},
+		{4 * interval, d.dropCalls},
 	}
 	start := time.Now()
 	ticker := time.NewTicker(max(d.options.For/10, minStatsInterval))
@@ -75,15 +75,15 @@
 	}
 }
 
-// logHints writes how to look at the controllers while they run.
+// logHints prints commands that show the controllers while they run.
 func (d *demo) logHints() {
 	olivectl := filepath.Join(d.options.Bin, "olivectl")
-	d.logf("%v calls a second for %v; beside it, look with", d.options.Rate, d.options.For)
+	d.logf("%v calls per second for %v; to watch, run in another terminal:", d.options.Rate, d.options.For)
 	d.logf("    %s top --agent %s", olivectl, d.options.Agent)
 	d.logf("    %s list --agent %s", olivectl, d.options.Agent)
 }
 
-// logStats writes what callers got until now.
+// logStats prints the statistics of the calls so far.
 func (d *demo) logStats(s loopback.LoadStats) {
 	percentile := func(p float64) time.Duration {
 		if s.Took == nil || s.Took.TotalCount() == 0 {
@@ -91,11 +91,11 @@
 		}
 		return (time.Duration(s.Took.ValueAtQuantile(p)) * time.Microsecond).Round(time.Millisecond)
 	}
-	d.logf("%5d calls: %d stood (half within %v, 99 of 100 within %v), %d refused, %d failed, %d given up, %d cut",
+	d.logf("%5d calls: %d established (set-up time p50 %v, p99 %v), %d rejected, %d failed, %d abandoned, %d dropped",
 		s.Sent, s.Established, percentile(50), percentile(99), s.Rejected, s.Failed+s.Lost, s.Abandoned, s.Dropped)
 }
 
-// slowDown slows the processor of an exchange down for a while.
+// slowDown slows the processor of the first exchange down for a fifth of the run.
 func (d *demo) slowDown() error {
 	d.logf("-> the processor of x0 runs three times slower for a while")
 	x := d.exchanges[0]
@@ -107,10 +107,10 @@
 	return nil
 }
 
-// replaceExchange drains the last exchange and starts a cold one in its place.
+// replaceExchange drains the last exchange and starts a replacement, which begins in slow start.
 func (d *demo) replaceExchange() error {
 	last := d.options.Exchanges - 1
-	d.logf("-> %s drains, x%d.1 starts cold in its place", d.endpoints[last].ID, last)
+	d.logf("-> %s drains, its replacement x%d.1 begins in slow start", d.endpoints[last].ID, last)
 	d.endpoints[last].Draining = true
 	old := d.exchanges[last]
 	if err := d.startExchange(fmt.Sprintf("x%d.1", last), last, true); err != nil {
@@ -125,20 +125,20 @@
 	return nil
 }
 
-// killController kills a controller; the agent starts it again.
+// killController kills a controller, which the agent restarts.
 func (d *demo) killController() error {
 	ctx, cancel := context.WithTimeout(context.Background(), agentTimeout)
 	defer cancel()
 	reply, err := adminapi.Send(ctx, d.options.Agent, adminapi.AuditCommand("instance/n0"))
 	if err != nil {
-		return fmt.Errorf("demo: asking the agent: %w", err)
+		return fmt.Errorf("demo: query the agent: %w", err)
 	}
 	var pid int
 	_, err = fmt.Sscan(h248.Value(reply.Descriptors, "oa/instance", "pid"), &pid)
 	if err != nil || pid <= 1 {
-		return fmt.Errorf("demo: the agent reports no process of n0")
+		return fmt.Errorf("demo: the agent reports no process id of n0")
 	}
-	d.logf("-> n0 is killed (process %d); the agent starts it again", pid)
+	d.logf("-> n0 is killed (process %d); the agent restarts it", pid)
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -147,14 +147,14 @@
 
 // dropCalls drops two fifths of the established calls.
 func (d *demo) dropCalls() error {
-	d.logf("-> four in ten of the calls that stand are cut")
+	d.logf("-> two fifths of the established calls are dropped")
 	for _, x := range d.exchanges {
 		x.Do(func(m *exchange.Exchange, now exchange.Time) { m.DropCalls(now, m.EstablishedCalls()*2/5) })
 	}
 	return nil
 }
 
-// report makes the report from the records, once the controllers have ended.
+// report stops the controllers and creates the report from their records.
 func (d *demo) report() error {
 	if err := d.stopAgent(); err != nil {
 		return err
@@ -169,7 +169,7 @@
 	args := append([]string{"report", "-o", d.options.Report}, dirs...)
 	c := exec.Command(filepath.Join(d.options.Bin, "olivectl"), args...)
 	if out, err := c.CombinedOutput(); err != nil {
-		return fmt.Errorf("demo: the report: %w: %s", err, strings.TrimSpace(string(out)))
+		return fmt.Errorf("demo: create the report: %w: %s", err, strings.TrimSpace(string(out)))
 	}
 	d.logf("the report is %s; open it in a browser", d.options.Report)
 	return nil
--- a/internal/sim/demo/start.go
+++ b/internal/sim/demo/start.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	startTimeout      = 15 * time.Second // of all controllers
+	startTimeout      = 15 * time.Second // for all controllers
 	startPollInterval = 100 * time.Millisecond
 	probeTimeout      = 200 * time.Millisecond
-	stopTimeout       = 15 * time.Second // of the agent and its controllers
+	stopTimeout       = 15 * time.Second // for the agent and its controllers
 )
 
-// Factors by which the seeds of exchanges and controllers differ.
+// Factors by which the seeds of exchanges and controllers are derived from Options.Seed.
 const (
 	exchangeSeedStep   = 7
 	controllerSeedStep = 31
 )
 
-// start starts all parts and waits until the controllers serve.
+// start starts all components and waits until the controllers accept connections.
 func (d *demo) start(ctx context.Context) error {
 	var err error
 	if d.names, err = loopback.ListenNameService("127.0.0.1:0"); err != nil {
@@ -46,7 +46,7 @@
 	if d.etcd, err = fakeetcd.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	d.logf("%d emulated exchanges, a directory at %s, a stand-in of etcd at %s",
+	d.logf("%d emulated exchanges, a name service at %s, an etcd emulator at %s",
 		d.options.Exchanges, d.names.Addr(), d.etcd.Addr())
 	if err := d.startAgent(); err != nil {
 		return err
@@ -56,10 +56,10 @@
 			return err
 		}
 	}
-	return d.awaitServing(ctx)
+	return d.awaitControllers(ctx)
 }
 
-// startExchange starts an exchange and adds its endpoint.
+// startExchange starts an emulated exchange and adds its endpoint to the list.
 func (d *demo) startExchange(id string, pool int, cold bool) error {
 	seed := d.options.Seed + uint64(len(d.exchanges))*exchangeSeedStep
 	x, err := loopback.Listen("127.0.0.1:0", d.scenario.Model(), cold, seed)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// startAgent starts the agent with its log.
+// startAgent starts the agent, which writes to the log file.
 func (d *demo) startAgent() error {
 	var err error
 	if d.logFile, err = os.Create(filepath.Join(d.dir, "log")); err != nil {
@@ -94,7 +94,7 @@
 	)
 	agent.Stdout = d.logFile
 	agent.Stderr = d.logFile
-	// A process group of its own: Ctrl-C reaches this program alone, which then stops the others in order.
+	// With a process group of its own the agent does not get the SIGINT of Ctrl-C; stopAgent stops it.
 	agent.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := agent.Start(); err != nil {
 		return fmt.Errorf("demo: %w", err)
@@ -102,11 +102,11 @@
 	d.agent = agent
 	d.agentEnded = make(chan error, 1)
 	go func() { d.agentEnded <- agent.Wait() }()
-	d.logf("the agent runs, olivectl finds it at %s", d.options.Agent)
+	d.logf("the agent is running; its address for olivectl is %s", d.options.Agent)
 	return nil
 }
 
-// requestController has the agent run a controller.
+// requestController sets the specification of a controller in etcd, by which the agent starts it.
 func (d *demo) requestController(number int) error {
 	name := fmt.Sprint("n", number)
 	instance := &cluster.Instance{
@@ -132,13 +132,13 @@
 	return nil
 }
 
-// awaitServing waits until all controllers accept connections, or ctx ends.
-func (d *demo) awaitServing(ctx context.Context) error {
+// awaitControllers waits until all controllers accept connections, or ctx ends.
+func (d *demo) awaitControllers(ctx context.Context) error {
 	end := time.Now().Add(startTimeout)
 	for {
-		serving := d.countServing()
-		if serving == len(d.listen) {
-			d.logf("%d call controllers take calls at %s", serving, strings.Join(d.listen, ", "))
+		accepting := d.countAccepting()
+		if accepting == len(d.listen) {
+			d.logf("%d call controllers accept calls at %s", accepting, strings.Join(d.listen, ", "))
 			return nil
 		}
 		select {
@@ -147,30 +147,31 @@
 		case err := <-d.agentEnded:
 			d.agentEnded <- err
 			cause := cmp.Or(err, errors.New("without an error"))
-			return fmt.Errorf("demo: the agent ended: %w; its log is %s", cause, d.logFile.Name())
+			return fmt.Errorf("demo: the agent exited: %w; see its log, %s", cause, d.logFile.Name())
 		case <-time.After(startPollInterval):
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("demo: %d of %d call controllers take calls; the log is %s",
-				serving, len(d.listen), d.logFile.Name())
+			return fmt.Errorf("demo: only %d of %d call controllers accept calls; see the log, %s",
+				accepting, len(d.listen), d.logFile.Name())
 		}
 	}
 }
 
-// countServing counts the controllers that accept connections.
-func (d *demo) countServing() int {
-	serving := 0
+// countAccepting counts the controllers that accept connections.
+func (d *demo) countAccepting() int {
+	accepting := 0
 	for _, addr := range d.listen {
 		conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 		if err == nil {
 			_ = conn.Close()
-			serving++
+			accepting++
 		}
 	}
-	return serving
+	return accepting
 }
 
-// stopAgent stops the agent, and with it the controllers, in order. It kills what does not stop.
+// stopAgent stops the agent, which shuts down the controllers. It kills all of them if they do not stop within
+// stopTimeout.
 func (d *demo) stopAgent() error {
 	if d.agent == nil {
 		return nil
@@ -181,7 +182,7 @@
 	select {
 	case <-d.agentEnded:
 	case <-time.After(stopTimeout):
-		_ = syscall.Kill(-agent.Process.Pid, syscall.SIGKILL) // its process group: the controllers as well
+		_ = syscall.Kill(-agent.Process.Pid, syscall.SIGKILL) // the process group, which includes the controllers
 		<-d.agentEnded
 		return fmt.Errorf("demo: the agent did not stop in %v and was killed", stopTimeout)
 	}
