--- a/internal/sim/loopback/exchange.go
+++ b/internal/sim/loopback/exchange.go
@@ -1,6 +1,6 @@
-// Package loopback puts the emulated exchanges, the name service and the load on real sockets on loopback, for real
-// controllers. It owns connections, SIP, DNS and the platform's protocol. How an exchange behaves is defined by
-// internal/sim/exchange.
+// Package loopback runs emulated exchanges, a name service and a load generator on sockets of the loopback interface,
+// for tests with real controllers. It implements the connections, SIP, DNS and the JSON-lines protocol of clients. The
+// behaviour of an exchange is defined by internal/sim/exchange.
 package loopback
 
 import (
@@ -17,7 +17,7 @@
 	"olivedale/internal/sim/exchange"
 )
 
-// An Exchange serves SIP over TCP on a loopback address. Its methods are safe for concurrent use.
+// An Exchange is an emulated exchange that serves SIP over TCP. Its methods are safe for concurrent use.
 type Exchange struct {
 	listener net.Listener
 	start    time.Time
@@ -32,21 +32,22 @@
 	nextConn  int
 }
 
-// A dialog is what an exchange needs to answer an INVITE and to release its call.
+// A dialog holds what an exchange needs to answer an INVITE and to release the call.
 type dialog struct {
-	conn   string // name of the connection it came on; "": that one has closed
+	conn   string // name of the connection of the INVITE; "" if it has closed
 	number string
 	cseq   int
 }
 
-// modelStream is the stream of the random generator of an exchange's model.
+// modelStream is the PCG stream of the model's random generator.
 const modelStream = 1
 
-// releaseCSeq is the CSeq of a BYE that an exchange sends.
+// releaseCSeq is the CSeq number of the BYE requests of an exchange.
 const releaseCSeq = 9
 
-// Listen starts an exchange on an address; port 0 takes a free one. Close ends its goroutines.
-func Listen(addr string, set exchange.Settings, cold bool, seed uint64) (*Exchange, error) {
+// Listen starts an exchange on a TCP address; port 0 chooses a free port. If cold, the exchange begins in slow start.
+// Close ends its goroutines.
+func Listen(addr string, settings exchange.Settings, cold bool, seed uint64) (*Exchange, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
@@ -54,7 +55,7 @@
 	e := &Exchange{
 		listener: listener,
 		start:    time.Now(),
-		model:    exchange.New(set, 0, cold, rand.New(rand.NewPCG(seed, modelStream))),
+		model:    exchange.New(settings, 0, cold, rand.New(rand.NewPCG(seed, modelStream))),
 		conns:    make(map[string]*exchangeConn),
 		calls:    make(map[exchange.Attempt]*dialog),
 	}
@@ -63,7 +64,7 @@
 	return e, nil
 }
 
-// Addr returns the address on which the exchange listens, as host:port.
+// Addr returns the address of the exchange as host:port.
 func (e *Exchange) Addr() string { return e.listener.Addr().String() }
 
 // Counters returns the counters of the model.
@@ -80,14 +81,14 @@
 	return e.model.EstablishedCalls()
 }
 
-// HasCollapsed reports whether the exchange went down by overload while it was cold.
+// HasCollapsed reports whether the exchange went down because of overload in its slow start.
 func (e *Exchange) HasCollapsed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.collapsed
 }
 
-// Do changes the model by f, for example to inject a fault, and sends the messages that result.
+// Do calls f to change the model, for example to inject a fault, and sends the resulting messages.
 func (e *Exchange) Do(f func(x *exchange.Exchange, now exchange.Time)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// Close ends the exchange: nothing listens, and its connections are reset.
+// Close stops the exchange: it stops listening and resets its connections.
 func (e *Exchange) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +119,7 @@
 	e.closeConns()
 }
 
-// closeConns stops listening and resets the connections. Exchange.mu is held.
+// closeConns stops listening and resets the connections. The caller holds Exchange.mu.
 func (e *Exchange) closeConns() {
 	if e.closed {
 		return
@@ -131,8 +132,8 @@
 	}
 }
 
-// take handles a message from a controller.
-func (e *Exchange) take(c *exchangeConn, m *sip.Message) {
+// handle handles a message from a controller.
+func (e *Exchange) handle(c *exchangeConn, m *sip.Message) {
 	e.Do(func(x *exchange.Exchange, now exchange.Time) {
 		attempt := exchange.Attempt{Call: m.CallID, Number: m.CSeq - 1}
 		switch m.Method {
@@ -151,8 +152,8 @@
 	})
 }
 
-// forgetConn handles the end of a connection: its open attempts are forgotten, and the release of its established
-// calls is sent on another connection.
+// forgetConn handles the end of a connection: it removes the open attempts, and detaches the dialogs of established
+// calls, whose release is then sent on another connection.
 func (e *Exchange) forgetConn(c *exchangeConn) {
 	e.Do(func(x *exchange.Exchange, now exchange.Time) {
 		delete(e.conns, c.name)
@@ -170,7 +171,7 @@
 	})
 }
 
-// send sends a message of the model. Exchange.mu is held.
+// send sends a message of the model. The caller holds Exchange.mu.
 func (e *Exchange) send(m exchange.Message) {
 	d := e.calls[m.Attempt]
 	if d == nil {
@@ -188,8 +189,8 @@
 	}
 }
 
-// connFor returns the connection for a message of a dialog, or nil if there is none. A release is sent on the latest
-// connection if that of the dialog has closed.
+// connFor returns the connection for a message of a dialog, or nil if there is none. If the connection of the dialog
+// has closed, a release is sent on the newest one.
 func (e *Exchange) connFor(d *dialog, isRelease bool) *exchangeConn {
 	if c := e.conns[d.conn]; c != nil || !isRelease {
 		return c
@@ -201,7 +202,7 @@
 	return e.conns[names[len(names)-1]]
 }
 
-// connNames returns the names of the connections, the latest last.
+// connNames returns the names of the connections in the order in which they were accepted.
 func (e *Exchange) connNames() []string {
 	var names []string
 	for name := range e.conns {
--- a/internal/sim/loopback/exchange_conn.go
+++ b/internal/sim/loopback/exchange_conn.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages for a controller that does not read.
+	// maxQueuedMessages is the limit of queued messages for a controller that does not read.
 	maxQueuedMessages = 4096
 	readBufferBytes   = 16 << 10
 )
 
-// SIP status codes of an exchange.
+// SIP status codes that an exchange sends.
 const (
 	statusOK                 = 200
 	statusRequestTerminated  = 487
@@ -31,10 +31,10 @@
 type exchangeConn struct {
 	name string
 	conn net.Conn
-	out  chan []byte // a controller that does not read is disconnected when it is full
+	out  chan []byte // send queue; the connection is closed when it is full
 }
 
-// accept accepts connections until the exchange is closed.
+// accept accepts connections until the listener is closed.
 func (e *Exchange) accept() {
 	for {
 		conn, err := e.listener.Accept()
@@ -51,7 +51,7 @@
 	}
 }
 
-// register remembers a connection. It returns nil if the exchange is closed.
+// register adds a connection. It returns nil if the exchange is closed.
 func (e *Exchange) register(conn net.Conn) *exchangeConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,7 +64,8 @@
 	return c
 }
 
-// writeQueued writes the queue until serve closes it. A failed write closes the connection, by which serve ends.
+// writeQueued writes queued messages until forgetConn closes the queue. A failed write closes the connection, which
+// ends serve.
 func (c *exchangeConn) writeQueued() {
 	for message := range c.out {
 		if _, err := c.conn.Write(message); err != nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// send queues a message. Exchange.mu is held.
+// send queues a message, or closes the connection if the queue is full. The caller holds Exchange.mu.
 func (c *exchangeConn) send(message []byte) {
 	select {
 	case c.out <- message:
@@ -90,7 +91,7 @@
 	_ = c.conn.Close()
 }
 
-// serve handles the messages of a connection until it ends.
+// serve reads and handles the messages of a connection until it is closed.
 func (e *Exchange) serve(c *exchangeConn) {
 	var reader sip.Reader
 	buffer := make([]byte, readBufferBytes)
@@ -98,7 +99,7 @@
 		n, err := c.conn.Read(buffer)
 		if err == nil {
 			err = reader.Feed(buffer[:n], func(m *sip.Message) bool {
-				e.take(c, m)
+				e.handle(c, m)
 				return true
 			})
 		}
@@ -110,7 +111,7 @@
 	e.forgetConn(c)
 }
 
-// encode returns the SIP message for a message of the model, or nil if it has none.
+// encode returns the SIP encoding of a message of the model, or nil if it has none.
 func encode(m exchange.Message, d *dialog) []byte {
 	invite := &sip.Message{CallID: m.Call, CSeq: d.cseq}
 	switch m.Kind {
@@ -132,13 +133,13 @@
 	}
 }
 
-// unavailable returns the response by which an exchange rejects an INVITE.
+// unavailable returns the 503 response with which an exchange rejects an INVITE.
 func unavailable(invite *sip.Message, diagnosis string) []byte {
 	header := sip.Header{Name: "X-Diagnosis", Value: diagnosis}
 	return newResponse(statusServiceUnavailable, invite, "INVITE", nil, header)
 }
 
-// newResponse returns a response to a request of a method.
+// newResponse encodes a response to a request with the given method.
 func newResponse(status int, request *sip.Message, method string, body []byte, headers ...sip.Header) []byte {
 	b := fmt.Appendf(nil, "SIP/2.0 %d X\r\nCall-ID: %s\r\nCSeq: %d %s\r\n",
 		status, request.CallID, request.CSeq, method)
--- a/internal/sim/loopback/load.go
+++ b/internal/sim/loopback/load.go
@@ -13,42 +13,42 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A Load offers calls to controllers in an open loop: calls arrive whether or not earlier ones were answered, and the
-// time of a call counts from when it was to be sent, so that a stall of either side shows. Run ends by itself.
+// A Load is an open-loop load generator: calls arrive independently of the answers to earlier ones, and the set-up time
+// of a call is measured from its scheduled send time, so that a stall of the generator or of a controller counts.
 type Load struct {
-	Addrs         []string // addresses of the controllers for clients
-	Rate          float64  // calls a second to all controllers together
+	Addrs         []string // client addresses of the controllers
+	Rate          float64  // calls per second to all controllers together
 	Duration      time.Duration
-	CallerTimeout time.Duration // how long callers wait for the final answer
-	Pools         int           // number of pools to prefer
+	CallerTimeout time.Duration // time that callers wait for the final answer
+	Pools         int           // number of pools, one of which a call prefers
 	Classes       []scenario.Class
 	Seed          uint64
-	MaxOpen       int // bound of calls that are open or established; calls beyond it are not sent. 0: defaultMaxOpen
-	// Observe, if not nil, gets an event for each message, in the order of each call.
+	MaxOpen       int // limit of open and established calls, beyond which none are sent; 0: defaultMaxOpen
+	// Observe, if not nil, is called with the events of each call in order.
 	Observe         func(invariant.Event)
 	ControllerNames []string // names of the controllers at Addrs, for Observe
 
 	mu     sync.Mutex
-	calls  map[string]*loadCall
-	stats  []LoadStats // by address
-	paused []bool      // by address: no calls are sent there
+	calls  map[string]*loadCall // open and established calls, by id
+	stats  []LoadStats          // by address
+	paused []bool               // by address; no calls are sent there
 	conns  []*loadConn
 }
 
 const (
 	defaultMaxOpen = 10_000
-	// loadStream is the stream of the random generator of a load.
+	// loadStream is the PCG stream of a load's random generator.
 	loadStream = 3
-	// drainPollInterval is how often Run looks whether calls are still open.
+	// drainPollInterval is the interval at which Run checks whether calls are still open.
 	drainPollInterval = 10 * time.Millisecond
-	// drainMargin is how long Run waits for open calls beyond the callers' own time.
+	// drainMargin is the time that Run waits for open calls beyond CallerTimeout.
 	drainMargin = time.Second
 )
 
-// Run sends calls until its time is over or ctx ends, and then waits for the open calls.
+// Run sends calls for Duration and then waits for the open ones. It stops early if ctx ends.
 func (l *Load) Run(ctx context.Context) error {
 	if len(l.Addrs) == 0 || l.Rate <= 0 || len(l.Classes) == 0 {
-		return errors.New("load: addresses, a rate and classes are needed")
+		return errors.New("load: Addrs, Rate and Classes are required")
 	}
 	l.init()
 	defer l.closeConns()
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendAll sends the calls of a Poisson process. It reports false if ctx ended before the last.
+// sendAll sends calls with Poisson arrivals. It reports whether it sent all of them before ctx ended.
 func (l *Load) sendAll(ctx context.Context) bool {
 	rng := rand.New(rand.NewPCG(l.Seed, loadStream))
 	start := time.Now()
@@ -97,7 +97,7 @@
 	}
 }
 
-// sleepUntil waits until a time. It reports false if ctx has ended.
+// sleepUntil waits until the given time. It returns false if ctx ended before.
 func sleepUntil(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// awaitOpenCalls waits until no call is open, or the callers' time is over.
+// awaitOpenCalls waits until no call is open, at most CallerTimeout and drainMargin.
 func (l *Load) awaitOpenCalls(ctx context.Context) {
 	end := time.Now().Add(l.CallerTimeout + drainMargin)
 	for time.Now().Before(end) && ctx.Err() == nil && l.openCalls() > 0 {
@@ -119,7 +119,7 @@
 	}
 }
 
-// openCalls counts the calls without a final answer.
+// openCalls returns the number of calls without a final answer.
 func (l *Load) openCalls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,14 +132,14 @@
 	return n
 }
 
-// Pause stops sending calls to an address, as a client does with a controller that shuts down, or sends them again.
+// Pause stops or resumes sending calls to an address, as clients do when its controller shuts down.
 func (l *Load) Pause(address int, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused[address] = on
 }
 
-// observe passes an event at a controller to Observe.
+// observe passes an event at the controller of an address to Observe.
 func (l *Load) observe(address int, e invariant.Event) {
 	if l.Observe != nil {
 		e.Controller = l.ControllerNames[address]
@@ -147,7 +147,7 @@
 	}
 }
 
-// A callDraw is what the random generator decides of a call.
+// A callDraw holds the randomly chosen properties of a call.
 type callDraw struct {
 	class  string
 	conn   *loadConn
@@ -155,7 +155,7 @@
 	number string
 }
 
-// draw draws a call; the order of the draws decides which calls a seed gives.
+// draw chooses the properties of a call. The order of the draws determines which calls a seed yields.
 func (l *Load) draw(rng *rand.Rand) callDraw {
 	class := l.Classes[scenario.Pick(l.Classes, rng.Float64())].Name
 	conn := l.conns[rng.IntN(len(l.conns))]
@@ -164,7 +164,7 @@
 	return callDraw{class: class, conn: conn, pool: pool, number: number}
 }
 
-// send sends a call that was due at a time.
+// send sends a call that was scheduled for the time due.
 func (l *Load) send(rng *rand.Rand, due time.Time, id string) {
 	d := l.draw(rng)
 	conn := d.conn
@@ -195,7 +195,7 @@
 	call.timer = time.AfterFunc(l.CallerTimeout, func() { l.abandon(id) })
 }
 
-// open registers a call, or returns nil if it must not be sent.
+// open registers a call, or returns nil if it must not be sent because of MaxOpen or Pause.
 func (l *Load) open(id string, due time.Time, conn *loadConn) *loadCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sim/loopback/load_call.go
+++ b/internal/sim/loopback/load_call.go
@@ -13,15 +13,15 @@
 	causeNoCircuit      = 34
 )
 
-// A loadCall is a call that is open or established.
+// A loadCall is an open or established call of a Load.
 type loadCall struct {
-	due         time.Time // when it was to be sent
+	due         time.Time // scheduled send time
 	conn        *loadConn
 	established bool
-	timer       *time.Timer
+	timer       *time.Timer // abandons the call
 }
 
-// abandon ends a call whose final answer did not come in time.
+// abandon cancels a call whose final answer did not arrive within CallerTimeout.
 func (l *Load) abandon(id string) {
 	call := l.removeOpen(id)
 	if call == nil {
@@ -35,7 +35,7 @@
 	})
 }
 
-// removeOpen removes a call that is open and counts it as abandoned; nil: it is not open.
+// removeOpen removes an open call and counts it as abandoned. It returns nil if the call is not open.
 func (l *Load) removeOpen(id string) *loadCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,19 +48,19 @@
 	return call
 }
 
-// take handles a message from a controller.
-func (l *Load) take(c *loadConn, m *jsonl.Message) {
+// handle handles a message from a controller.
+func (l *Load) handle(c *loadConn, m *jsonl.Message) {
 	switch m.Verb {
 	case jsonl.Started:
 		l.establish(c, m.Tag)
 	case jsonl.Finish:
 		l.finish(c, m)
 		_ = c.send(&jsonl.Message{Verb: jsonl.Finished, Tag: m.Tag})
-	default: // nothing else concerns callers
+	default: // callers ignore all other messages
 	}
 }
 
-// establish handles the final answer of a call that is established.
+// establish handles the final answer that a call is established.
 func (l *Load) establish(c *loadConn, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 	_ = stats.Took.RecordValue(max(time.Since(call.due).Microseconds(), 1))
 }
 
-// finish handles the end of a call, or its rejection or failure.
+// finish handles the rejection, the failure or the release of a call.
 func (l *Load) finish(c *loadConn, m *jsonl.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	delete(l.calls, m.Tag)
 }
 
-// loseOpenCalls handles the end of a connection: its open calls get no answer.
+// loseOpenCalls removes the open calls of a closed connection and counts them as lost.
 func (l *Load) loseOpenCalls(c *loadConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sim/loopback/load_conn.go
+++ b/internal/sim/loopback/load_conn.go
@@ -15,16 +15,16 @@
 	loadWriteTimeout = time.Second
 )
 
-// A loadConn is the connection of all callers to one controller; it is dialed when there is something to send.
+// A loadConn is the shared connection of all callers to a controller. It is dialed when a message is sent.
 type loadConn struct {
 	load  *Load
-	index int // of the address
+	index int // of the address in Load.Addrs
 	addr  string
 	mu    sync.Mutex
 	conn  net.Conn // nil: not connected
 }
 
-// send writes a message, on a new connection if there is none.
+// send writes a message and dials a connection first if there is none.
 func (c *loadConn) send(m *jsonl.Message) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// read handles the messages of a connection until it ends.
+// read reads and handles the messages of a connection until it is closed.
 func (c *loadConn) read(conn net.Conn) {
 	var reader jsonl.Reader
 	buffer := make([]byte, readBufferBytes)
@@ -53,7 +53,7 @@
 		n, err := conn.Read(buffer)
 		if err == nil {
 			err = reader.Feed(buffer[:n], func(m *jsonl.Message) bool {
-				c.load.take(c, m)
+				c.load.handle(c, m)
 				return true
 			})
 		}
@@ -66,7 +66,7 @@
 	c.load.loseOpenCalls(c)
 }
 
-// forget has the next message dial a new connection, if this one is current.
+// forget clears the current connection if it is conn, so that the next message dials a new one.
 func (c *loadConn) forget(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// close closes the connection, by which its reader ends.
+// close closes the connection, which ends its reader.
 func (c *loadConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sim/loopback/load_stats.go
+++ b/internal/sim/loopback/load_stats.go
@@ -12,27 +12,27 @@
 	histogramSignificance = 3 // decimal digits
 )
 
-// LoadStats are what callers got.
+// LoadStats holds the outcomes of the calls of a load.
 type LoadStats struct {
 	Sent        int
-	NotSent     int // calls that were due and not sent
-	Established int // established
-	Rejected    int // rejected for want of circuits
-	Failed      int // ended otherwise before they were established
-	Abandoned   int // abandoned by the caller
-	Lost        int // lost with their connection
-	Released    int // ended normally
-	Dropped     int // ended otherwise after they were established
-	// Took has the times until calls were established, in microseconds.
+	NotSent     int // scheduled but not sent, because of MaxOpen or Pause
+	Established int
+	Rejected    int // rejected with cause 34, no circuit available
+	Failed      int // ended for another reason before they were established
+	Abandoned   int // no final answer within CallerTimeout
+	Lost        int // their connection failed or closed before the final answer
+	Released    int // ended normally after they were established
+	Dropped     int // ended for another reason after they were established
+	// Took is the histogram of set-up times, in microseconds.
 	Took *hdrhistogram.Histogram
 }
 
-// NewLoadStats returns stats without calls.
+// NewLoadStats returns empty statistics.
 func NewLoadStats() LoadStats {
 	return LoadStats{Took: hdrhistogram.New(1, maxRecordedTime.Microseconds(), histogramSignificance)}
 }
 
-// Add adds what other callers got.
+// Add adds other statistics.
 func (s *LoadStats) Add(o LoadStats) {
 	s.Sent += o.Sent
 	s.NotSent += o.NotSent
@@ -46,7 +46,7 @@
 	s.Took.Merge(o.Took)
 }
 
-// Stats returns what callers of all addresses got until now.
+// Stats returns the statistics of all addresses so far.
 func (l *Load) Stats() LoadStats {
 	all := NewLoadStats()
 	for i := range l.Addrs {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// StatsOf returns what callers of one address got until now.
+// StatsOf returns the statistics of an address so far.
 func (l *Load) StatsOf(address int) LoadStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sim/loopback/loopback_test.go
+++ b/internal/sim/loopback/loopback_test.go
@@ -19,14 +19,14 @@
 	"olivedale/internal/sim/virtualtime"
 )
 
-// shortHolding are holding times of calls for tests that must not wait for them.
+// shortHolding holds short call durations, so that tests do not wait for long calls.
 var shortHolding = map[string]time.Duration{
 	"resident-call":  200 * time.Millisecond,
 	"concierge-call": 200 * time.Millisecond,
 	"delivery-call":  200 * time.Millisecond,
 }
 
-// controllerSettings are the platform's settings of the controller under test.
+// controllerSettings are the settings of the controller under test.
 const controllerSettings = `{
 	"groupSize": 1,
 	"classes": [
@@ -39,8 +39,8 @@
 	"safety": {"startCapacity": 0.31, "cold": 15000}
 }`
 
-// start runs a real controller with a number of emulated exchanges and their name service.
-func start(t testing.TB, set exchange.Settings, exchanges int) (addr string, names *NameService, all []*Exchange, lines []Endpoint) {
+// start runs a real controller with a number of emulated exchanges and a name service.
+func start(t testing.TB, settings exchange.Settings, exchanges int) (addr string, names *NameService, all []*Exchange, endpoints []Endpoint) {
 	t.Helper()
 	names, err := ListenNameService("127.0.0.1:0")
 	if err != nil {
@@ -49,16 +49,16 @@
 	t.Cleanup(names.Close)
 	var members []config.Endpoint
 	for i := range exchanges {
-		x, err := Listen("127.0.0.1:0", set, false, uint64(i))
+		x, err := Listen("127.0.0.1:0", settings, false, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(x.Close)
 		all = append(all, x)
-		lines = append(lines, Endpoint{ID: fmt.Sprint("x", i), Addr: x.Addr(), Zone: "east", Pool: i})
-		members = append(members, config.Endpoint{ID: lines[i].ID, Address: lines[i].Addr, Zone: "east", Kind: "std", Pool: i, Phase: config.PhaseReady})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint("x", i), Addr: x.Addr(), Zone: "east", Pool: i})
+		members = append(members, config.Endpoint{ID: endpoints[i].ID, Address: endpoints[i].Addr, Zone: "east", Kind: "std", Pool: i, Phase: config.PhaseReady})
 	}
-	names.Set(lines...)
+	names.Set(endpoints...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,68 +93,68 @@
 		n.Stop()
 		<-done
 	})
-	return addr, names, all, lines
+	return addr, names, all, endpoints
 }
 
-// TestLoadAndExchanges sends calls through a real controller to emulated exchanges: what callers got is what the
-// exchanges counted, also when calls are dropped and an exchange ends.
+// TestLoadAndExchanges sends calls through a real controller to emulated exchanges and checks that the counters of the
+// load match those of the exchanges, also when calls are dropped and an exchange stops.
 func TestLoadAndExchanges(t *testing.T) {
 	t.Parallel()
 	sc := scenario.Default()
-	set := sc.Model()
-	set.MeanHoldingTime = shortHolding
-	addr, names, all, lines := start(t, set, 2)
+	settings := sc.Model()
+	settings.MeanHoldingTime = shortHolding
+	addr, names, all, endpoints := start(t, settings, 2)
 	l := &Load{Addrs: []string{addr}, Rate: 30, Duration: 3 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 1}
 	done := make(chan error, 1)
 	go func() { done <- l.Run(context.Background()) }()
 	for end := time.Now().Add(10 * time.Second); all[0].EstablishedCalls() == 0 || all[1].EstablishedCalls() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no call is established at each exchange")
+			t.Fatal("some exchange has no established call after 10 s")
 		}
 	}
 	all[0].Do(func(x *exchange.Exchange, now exchange.Time) { x.DropCalls(now, x.EstablishedCalls()) })
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	var stood, ups int
+	var established, setUps int
 	for _, x := range all {
 		c := x.Counters()
-		stood, ups = stood+c.Established, ups+c.SetUps
+		established, setUps = established+c.Established, setUps+c.SetUps
 	}
 	s := l.Stats()
-	if s.Sent < 60 || s.Established != stood || s.Established+s.Rejected+s.Failed+s.Abandoned != s.Sent || s.Dropped == 0 || s.Established < s.Sent*8/10 || ups < stood {
-		t.Errorf("callers %+v, exchanges established %d of %d calls", s, stood, ups)
+	if s.Sent < 60 || s.Established != established || s.Established+s.Rejected+s.Failed+s.Abandoned != s.Sent || s.Dropped == 0 || s.Established < s.Sent*8/10 || setUps < established {
+		t.Errorf("load %+v; the exchanges established %d calls of %d set-ups", s, established, setUps)
 	}
 	if s.Took.TotalCount() != int64(s.Established) {
-		t.Errorf("%d times of %d calls", s.Took.TotalCount(), s.Established)
+		t.Errorf("%d set-up times recorded for %d established calls", s.Took.TotalCount(), s.Established)
 	}
 
-	// One exchange ends, and discovery publishes it: calls go to the other.
+	// One exchange stops and is removed from discovery: calls go to the other.
 	all[0].Close()
-	names.Set(lines[1])
+	names.Set(endpoints[1])
 	l = &Load{Addrs: []string{addr}, Rate: 20, Duration: 2 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 2}
 	if err := l.Run(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if s := l.Stats(); s.Established < s.Sent/2 || s.Established+s.Rejected+s.Failed+s.Abandoned != s.Sent {
-		t.Errorf("with one exchange: %+v", s)
+		t.Errorf("load with one exchange: %+v", s)
 	}
 	if err := (&Load{}).Run(context.Background()); err == nil {
-		t.Error("a load without addresses ran")
+		t.Error("Run accepted a load without addresses")
 	}
 }
 
-// BenchmarkFloors compares virtual time with sockets: one controller, three exchanges, no caller tries twice.
+// BenchmarkFloors compares runs in virtual time with runs on sockets: one controller, three exchanges, no redials.
 // go test -run '^$' -bench Floors -benchtime 1x ./internal/sim/loopback
 func BenchmarkFloors(b *testing.B) {
 	for range b.N {
 		for _, load := range []float64{0.6, 0.9, 1.3} {
-			compareFloors(b, load)
+			compareRuns(b, load)
 		}
 	}
 }
 
-// comparisonScenario is a scenario that means the same in virtual time and on sockets.
+// comparisonScenario returns a scenario that is equivalent in virtual time and on sockets.
 func comparisonScenario(b *testing.B, load float64) scenario.Scenario {
 	b.Helper()
 	sc := scenario.Default()
@@ -165,7 +165,7 @@
 	sc.Callers.PreferenceInterval = scenario.DurationRange{}
 	sc.Callers.MaxRedials = 0
 	sc.Callers.Patience = [2]float64{1.0 / 3, 1.0 / 3}
-	// The latency of loopback.
+	// The latency of the loopback interface.
 	near := scenario.DurationRange{scenario.Duration(50 * time.Microsecond), scenario.Duration(150 * time.Microsecond)}
 	sc.Network.Near = near
 	sc.Network.Far = near
@@ -176,11 +176,11 @@
 	return sc
 }
 
-// compareFloors logs the figures of 12 runs in virtual time and of one on sockets.
-func compareFloors(b *testing.B, load float64) {
+// compareRuns logs figures of 12 runs in virtual time and of one run on sockets.
+func compareRuns(b *testing.B, load float64) {
 	b.Helper()
 	sc := comparisonScenario(b, load)
-	days, err := experiment.Play(context.Background(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
+	results, err := experiment.Play(context.Background(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -208,14 +208,14 @@
 		{"p50 ms", float64(s.Took.ValueAtQuantile(50)) / 1000},
 		{"p99 ms", float64(s.Took.ValueAtQuantile(99)) / 1000},
 	} {
-		values := daysOf(days, figure.name)
-		b.Logf("load %v, %s: virtual %.3f, days from %.3f to %.3f; sockets %.3f", load, figure.name,
+		values := valuesOf(results, figure.name)
+		b.Logf("load %v, %s: virtual time %.3f, runs from %.3f to %.3f; sockets %.3f", load, figure.name,
 			experiment.Bootstrap(values, false).Mean, slices.Min(values), slices.Max(values), figure.sockets)
 	}
 }
 
-// daysOf returns a figure of each run.
-func daysOf(all []*result.Result, name string) (v []float64) {
+// valuesOf returns a figure of each run.
+func valuesOf(all []*result.Result, name string) (v []float64) {
 	for _, r := range all {
 		switch name {
 		case "stood":
@@ -231,14 +231,14 @@
 	return v
 }
 
-// TestClosedConnectionIsForgotten checks that attempts are forgotten when their connection closes. (They were once
-// kept for ever.)
+// TestClosedConnectionIsForgotten checks that an exchange removes the attempts of a closed connection, which it
+// otherwise would keep for ever.
 func TestClosedConnectionIsForgotten(t *testing.T) {
 	t.Parallel()
 	sc := scenario.Default()
-	set := sc.Model()
-	set.SetUp = time.Hour // no call is established
-	x, err := Listen("127.0.0.1:0", set, false, 1)
+	settings := sc.Model()
+	settings.SetUp = time.Hour // no call is established
+	x, err := Listen("127.0.0.1:0", settings, false, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sim/loopback/names.go
+++ b/internal/sim/loopback/names.go
@@ -10,25 +10,25 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// A Endpoint is the entry of one exchange in discovery.
+// An Endpoint is the discovery entry of an exchange.
 type Endpoint struct {
 	ID       string
 	Addr     string // host:port on loopback
 	Zone     string
 	Pool     int
 	Draining bool
-	Started  time.Time // zero: long ago
+	Started  time.Time // zero: unspecified, long ago
 }
 
-// NameService is the platform's name service: it answers each query with the whole list of exchanges, whose serial
-// number grows with each change. Its methods are safe for concurrent use.
+// NameService emulates the platform's name service. It answers each DNS query with the complete list of exchanges and
+// the list's serial number, which grows with each change. Its methods are safe for concurrent use.
 type NameService struct {
-	conn     net.PacketConn
-	mu       sync.Mutex
-	serial   uint32
-	lines    []Endpoint
-	isSilent bool
-	onAnswer func(serial uint32) // nil: nobody is told
+	conn      net.PacketConn
+	mu        sync.Mutex
+	serial    uint32
+	endpoints []Endpoint
+	isSilent  bool
+	onAnswer  func(serial uint32) // nil: not called
 }
 
 // Fields of the DNS answer.
@@ -40,7 +40,7 @@
 	kindText         = "kind=std"
 )
 
-// ListenNameService starts a name service on an address; port 0 takes a free one. Close ends its goroutine.
+// ListenNameService starts a name service on a UDP address; port 0 chooses a free port. Close ends its goroutine.
 func ListenNameService(addr string) (*NameService, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// mayAnswer reports whether the service answers, and reports the answer to the observer.
+// mayAnswer reports whether a query is to be answered, and calls onAnswer if so.
 func (n *NameService) mayAnswer() bool {
 	n.mu.Lock()
 	isSilent, serial, observe := n.isSilent, n.serial, n.onAnswer
@@ -76,43 +76,43 @@
 	return !isSilent
 }
 
-// SetSilent makes the service ignore queries, or answer them again.
+// SetSilent sets whether the service ignores queries.
 func (n *NameService) SetSilent(isSilent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isSilent = isSilent
 }
 
-// OnAnswer has observe called with the serial number of the list just before each answer is sent.
+// OnAnswer sets a function that is called with the serial number of the list just before each answer is sent.
 func (n *NameService) OnAnswer(observe func(serial uint32)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onAnswer = observe
 }
 
-// SetFrom changes the list to the one of a serial number, as a service that takes over from another does.
-func (n *NameService) SetFrom(serial uint32, lines ...Endpoint) {
+// SetFrom sets the list and its serial number, as for a service that takes over from another.
+func (n *NameService) SetFrom(serial uint32, endpoints ...Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.serial = serial
-	n.lines = slices.Clone(lines)
+	n.endpoints = slices.Clone(endpoints)
 }
 
-// Addr returns the address on which the service listens, as host:port.
+// Addr returns the address of the service as host:port.
 func (n *NameService) Addr() string { return n.conn.LocalAddr().String() }
 
-// Close ends the service.
+// Close stops the service.
 func (n *NameService) Close() { _ = n.conn.Close() }
 
-// Set changes the list.
-func (n *NameService) Set(lines ...Endpoint) {
+// Set sets the list and increments its serial number.
+func (n *NameService) Set(endpoints ...Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.serial++
-	n.lines = slices.Clone(lines)
+	n.endpoints = slices.Clone(endpoints)
 }
 
-// answer returns the answer to a query.
+// answer returns the encoded answer to a query.
 func (n *NameService) answer(query []byte) ([]byte, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,13 +129,13 @@
 	if err := a.addQuestion(); err != nil {
 		return nil, err
 	}
-	if err := a.addServices(n.lines); err != nil {
+	if err := a.addServices(n.endpoints); err != nil {
 		return nil, err
 	}
 	if err := a.addSerial(n.serial); err != nil {
 		return nil, err
 	}
-	if err := a.addHosts(n.lines); err != nil {
+	if err := a.addHosts(n.endpoints); err != nil {
 		return nil, err
 	}
 	return a.builder.Finish()
@@ -161,22 +161,22 @@
 	return a.builder.Question(a.question)
 }
 
-// addServices adds an SRV record for each line.
-func (a *answerBuilder) addServices(lines []Endpoint) error {
+// addServices adds an SRV record for each endpoint.
+func (a *answerBuilder) addServices(endpoints []Endpoint) error {
 	if err := a.builder.StartAnswers(); err != nil {
 		return err
 	}
-	for _, l := range lines {
-		addr, err := net.ResolveTCPAddr("tcp", l.Addr)
+	for _, endpoint := range endpoints {
+		addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 		if err != nil {
 			return err
 		}
-		host, err := l.hostName()
+		host, err := endpoint.hostName()
 		if err != nil {
 			return err
 		}
 		srv := dnsmessage.SRVResource{Port: uint16(addr.Port), Weight: srvWeight, Target: host}
-		if l.Draining {
+		if endpoint.Draining {
 			srv.Priority = drainingPriority
 		}
 		if err := a.builder.SRVResource(resourceHeader(a.question.Name), srv); err != nil {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// addSerial adds an SOA record with the serial number of the list.
+// addSerial adds an SOA record that contains the serial number of the list.
 func (a *answerBuilder) addSerial(serial uint32) error {
 	if err := a.builder.StartAuthorities(); err != nil {
 		return err
@@ -195,25 +195,25 @@
 	return a.builder.SOAResource(resourceHeader(name), dnsmessage.SOAResource{NS: name, MBox: name, Serial: serial})
 }
 
-// addHosts adds an A and a TXT record for each line.
-func (a *answerBuilder) addHosts(lines []Endpoint) error {
+// addHosts adds an A and a TXT record for each endpoint.
+func (a *answerBuilder) addHosts(endpoints []Endpoint) error {
 	if err := a.builder.StartAdditionals(); err != nil {
 		return err
 	}
-	for _, l := range lines {
-		if err := a.addHost(l); err != nil {
+	for _, endpoint := range endpoints {
+		if err := a.addHost(endpoint); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *answerBuilder) addHost(l Endpoint) error {
-	host, err := l.hostName()
+func (a *answerBuilder) addHost(endpoint Endpoint) error {
+	host, err := endpoint.hostName()
 	if err != nil {
 		return err
 	}
-	addr, err := net.ResolveTCPAddr("tcp", l.Addr)
+	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 	if err != nil {
 		return err
 	}
@@ -223,16 +223,16 @@
 		return err
 	}
 	started := int64(0)
-	if !l.Started.IsZero() {
-		started = l.Started.UnixMilli()
+	if !endpoint.Started.IsZero() {
+		started = endpoint.Started.UnixMilli()
 	}
-	texts := []string{kindText, fmt.Sprint("cell=", l.Pool), fmt.Sprint("started=", started)}
+	texts := []string{kindText, fmt.Sprint("cell=", endpoint.Pool), fmt.Sprint("started=", started)}
 	return a.builder.TXTResource(resourceHeader(host), dnsmessage.TXTResource{TXT: texts})
 }
 
-// hostName returns the DNS name of the exchange.
-func (l Endpoint) hostName() (dnsmessage.Name, error) {
-	return dnsmessage.NewName(l.ID + "." + l.Zone + hostSuffix)
+// hostName returns the DNS name of the endpoint's host.
+func (e Endpoint) hostName() (dnsmessage.Name, error) {
+	return dnsmessage.NewName(e.ID + "." + e.Zone + hostSuffix)
 }
 
 func resourceHeader(name dnsmessage.Name) dnsmessage.ResourceHeader {
