--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -130,7 +130,7 @@
 		for _, violation := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 			printViolation(w, path, r.Seed, violation)
 		}
-		violations += r.Breached()
+		violations += r.TotalViolations()
 	}
 	return violationError(violations)
 }
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -104,7 +104,7 @@
 	}
 	violations := 0
 	for _, r := range point.Results {
-		violations += r.Breached()
+		violations += r.TotalViolations()
 	}
 	return append(row, strconv.Itoa(violations)), nil
 }
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -124,8 +124,8 @@
 	r.Score = service - secondDeduction*r.Second - wasteDeduction*min(r.Waste, 1)
 }
 
-// Breached returns the number of invariant violations.
-func (r *Result) Breached() int {
+// TotalViolations returns the number of invariant violations.
+func (r *Result) TotalViolations() int {
 	sum := 0
 	for _, violations := range r.ViolationCounts {
 		sum += violations
