--- a/internal/sim/result/figure.go
+++ b/internal/sim/result/figure.go
@@ -26,7 +26,7 @@
 	{Name: "setup_p50_ms", Of: func(r *Result) float64 { return r.P50 }, Less: true},
 	{Name: "setup_p99_ms", Of: func(r *Result) float64 { return r.P99 }, Less: true},
 	{Name: "fairness", Of: func(r *Result) float64 { return r.Fairness }},
-	{Name: "cold_sends", Of: (*Result).ColdSends, Less: true},
+	{Name: "cold_sends", Of: (*Result).PeakSlowStartLoad, Less: true},
 }
 
 // An UnknownFigureError reports the name of a figure that does not exist.
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -133,8 +133,8 @@
 	return sum
 }
 
-// ColdSends returns the highest load of an exchange in slow start in any second, over its capacity in that second.
-func (r *Result) ColdSends() float64 {
+// PeakSlowStartLoad returns the highest load of an exchange in slow start in any second, over its capacity in that second.
+func (r *Result) PeakSlowStartLoad() float64 {
 	highest := 0.0
 	for _, c := range r.Cold {
 		for _, load := range c.Sends {
