--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -55,7 +55,7 @@
 	Seconds         []float64              `json:"seconds"` // service of each second, or noService
 	Recoveries      []Recovery             `json:"recoveries,omitempty"`
 	Exchanges       Exchanges              `json:"exchanges"`
-	Cold            []Cold                 `json:"cold,omitempty"`
+	Cold            []SlowStart            `json:"cold,omitempty"`
 	ViolationCounts map[string]int         `json:"broken,omitempty"` // violations by invariant
 	Violations      []*invariant.Violation `json:"-"`
 	Events          uint64                 `json:"events"`
@@ -98,8 +98,8 @@
 	e.WorkSeconds, e.WastedSeconds = e.Work.Seconds(), e.Wasted.Seconds()
 }
 
-// Cold describes the load of an exchange in its slow start.
-type Cold struct {
+// SlowStart describes the load of an exchange in its slow start.
+type SlowStart struct {
 	Exchange string    `json:"exchange"`
 	Born     float64   `json:"born_s"` // start time in seconds since the start of the run
 	Fell     bool      `json:"fell"`   // whether it failed under the load
