--- a/internal/sim/plot/experimentchart.go
+++ b/internal/sim/plot/experimentchart.go
@@ -130,7 +130,7 @@
 func slowStartCurves(results []*result.Result) []Curve {
 	var curves []Curve
 	for _, r := range results {
-		for _, cold := range r.Cold {
+		for _, cold := range r.SlowStarts {
 			if len(curves) == len(palette) {
 				return curves
 			}
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -55,7 +55,7 @@
 	Seconds         []float64              `json:"seconds"` // service of each second, or noService
 	Recoveries      []Recovery             `json:"recoveries,omitempty"`
 	Exchanges       Exchanges              `json:"exchanges"`
-	Cold            []SlowStart            `json:"cold,omitempty"`
+	SlowStarts      []SlowStart            `json:"cold,omitempty"`
 	ViolationCounts map[string]int         `json:"broken,omitempty"` // violations by invariant
 	Violations      []*invariant.Violation `json:"-"`
 	Events          uint64                 `json:"events"`
@@ -136,7 +136,7 @@
 // PeakSlowStartLoad returns the highest load of an exchange in slow start in any second, over its capacity in that second.
 func (r *Result) PeakSlowStartLoad() float64 {
 	highest := 0.0
-	for _, c := range r.Cold {
+	for _, c := range r.SlowStarts {
 		for _, load := range c.Sends {
 			highest = max(highest, load)
 		}
--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -46,14 +46,14 @@
 		if !e.isColdStart {
 			continue
 		}
-		r.Cold = append(r.Cold, result.SlowStart{
+		r.SlowStarts = append(r.SlowStarts, result.SlowStart{
 			Exchange: e.id,
 			Born:     e.startedAt.Seconds(),
 			Fell:     e.isCrashedByLoad,
 			Sends:    e.relativeLoad(),
 		})
 	}
-	slices.SortFunc(r.Cold, func(a, b result.SlowStart) int {
+	slices.SortFunc(r.SlowStarts, func(a, b result.SlowStart) int {
 		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Exchange, b.Exchange))
 	})
 }
