--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -48,13 +48,13 @@
 		}
 		r.SlowStarts = append(r.SlowStarts, result.SlowStart{
 			Exchange: e.id,
-			Born:     e.startedAt.Seconds(),
+			Start:    e.startedAt.Seconds(),
 			Fell:     e.isCrashedByLoad,
 			Sends:    e.relativeLoad(),
 		})
 	}
 	slices.SortFunc(r.SlowStarts, func(a, b result.SlowStart) int {
-		return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Exchange, b.Exchange))
+		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Exchange, b.Exchange))
 	})
 }
 
