--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -102,7 +102,7 @@
 type SlowStart struct {
 	Exchange string    `json:"exchange"`
 	Start    float64   `json:"born_s"` // start time in seconds since the start of the run
-	Fell     bool      `json:"fell"`   // whether it failed under the load
+	Failed   bool      `json:"fell"`   // whether it failed under the load
 	Sends    []float64 `json:"sends"`  // attempts in each second since its start, over its capacity in that second
 }
 
--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -49,7 +49,7 @@
 		r.SlowStarts = append(r.SlowStarts, result.SlowStart{
 			Exchange: e.id,
 			Start:    e.startedAt.Seconds(),
-			Fell:     e.isCrashedByLoad,
+			Failed:   e.isCrashedByLoad,
 			Sends:    e.relativeLoad(),
 		})
 	}
