--- a/internal/sim/plot/experimentchart.go
+++ b/internal/sim/plot/experimentchart.go
@@ -134,11 +134,11 @@
 			if len(curves) == len(palette) {
 				return curves
 			}
-			if len(cold.Sends) < 2 {
+			if len(cold.Loads) < 2 {
 				continue
 			}
-			c := Curve{Name: fmt.Sprintf("seed %d, %s", r.Seed, cold.Exchange), Y: cold.Sends}
-			for i := range cold.Sends {
+			c := Curve{Name: fmt.Sprintf("seed %d, %s", r.Seed, cold.Exchange), Y: cold.Loads}
+			for i := range cold.Loads {
 				c.X = append(c.X, float64(i))
 			}
 			curves = append(curves, c)
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -103,7 +103,7 @@
 	Exchange string    `json:"exchange"`
 	Start    float64   `json:"born_s"` // start time in seconds since the start of the run
 	Failed   bool      `json:"fell"`   // whether it failed under the load
-	Sends    []float64 `json:"sends"`  // attempts in each second since its start, over its capacity in that second
+	Loads    []float64 `json:"sends"`  // attempts in each second since its start, over its capacity in that second
 }
 
 // Weights of the terms of the score.
@@ -137,7 +137,7 @@
 func (r *Result) PeakSlowStartLoad() float64 {
 	highest := 0.0
 	for _, c := range r.SlowStarts {
-		for _, load := range c.Sends {
+		for _, load := range c.Loads {
 			highest = max(highest, load)
 		}
 	}
--- a/internal/sim/virtualtime/result.go
+++ b/internal/sim/virtualtime/result.go
@@ -50,7 +50,7 @@
 			Exchange: e.id,
 			Start:    e.startedAt.Seconds(),
 			Failed:   e.isCrashedByLoad,
-			Sends:    e.relativeLoad(),
+			Loads:    e.relativeLoad(),
 		})
 	}
 	slices.SortFunc(r.SlowStarts, func(a, b result.SlowStart) int {
