--- a/internal/sim/result/figure.go
+++ b/internal/sim/result/figure.go
@@ -20,7 +20,7 @@
 	{Name: "worst_class", Of: func(r *Result) float64 { return r.WorstClass }},
 	{Name: "refused", Of: func(r *Result) float64 { return perCall(r.Rejected, r.Offered) }, Less: true},
 	{Name: "failed", Of: func(r *Result) float64 { return perCall(r.Failed, r.Offered) }, Less: true},
-	{Name: "sends", Of: func(r *Result) float64 { return perCall(r.Sends, r.Offered) }, Less: true},
+	{Name: "sends", Of: func(r *Result) float64 { return perCall(r.Attempts, r.Offered) }, Less: true},
 	{Name: "waste", Of: func(r *Result) float64 { return r.Waste }, Less: true},
 	{Name: "second", Of: func(r *Result) float64 { return r.Second }, Less: true},
 	{Name: "setup_p50_ms", Of: func(r *Result) float64 { return r.P50 }, Less: true},
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -37,7 +37,7 @@
 
 	Offered     int `json:"offered"` // calls
 	Tries       int `json:"tries"`   // offers by clients, redials included
-	Sends       int `json:"sends"`   // attempts: set-ups sent to exchanges
+	Attempts    int `json:"sends"`   // attempts: set-ups sent to exchanges
 	Established int `json:"stood"`
 	Rejected    int `json:"refused"`
 	Failed      int `json:"failed"`
--- a/internal/sim/result/tally.go
+++ b/internal/sim/result/tally.go
@@ -83,7 +83,7 @@
 }
 
 // Sent counts an attempt: a set-up that a controller sends to an exchange.
-func (t *Tally) Sent() { t.result.Sends++ }
+func (t *Tally) Sent() { t.result.Attempts++ }
 
 // Rejected counts a call as rejected or, if isRejected is false, as failed.
 func (t *Tally) Rejected(isRejected bool) {
--- a/internal/sim/virtualtime/links_test.go
+++ b/internal/sim/virtualtime/links_test.go
@@ -43,7 +43,7 @@
 func TestLinkFaults(t *testing.T) {
 	base := scenario.Default()
 	base.Length, base.Callers.Load = seconds(12), 0.4
-	setUpsPerCall := func(r *result.Result) float64 { return float64(r.Sends) / float64(r.Offered) }
+	setUpsPerCall := func(r *result.Result) float64 { return float64(r.Attempts) / float64(r.Offered) }
 	undisturbed := Run(&base, 3, Options{})
 	for _, kind := range []string{scenario.LoseSetUps, scenario.DeadConnections, scenario.RollingRestart} {
 		t.Run(kind, func(t *testing.T) {
@@ -63,7 +63,7 @@
 			}
 			if len(r.ViolationCounts) > 0 || !hasEffect {
 				t.Errorf("violations %v, %d set-ups for %d calls, undisturbed %d for %d; %d controllers ended",
-					r.ViolationCounts, r.Sends, r.Offered, undisturbed.Sends, undisturbed.Offered, ended)
+					r.ViolationCounts, r.Attempts, r.Offered, undisturbed.Attempts, undisturbed.Offered, ended)
 			}
 		})
 	}
