--- a/internal/sim/result/figure.go
+++ b/internal/sim/result/figure.go
@@ -22,7 +22,7 @@
 	{Name: "failed", Of: func(r *Result) float64 { return perCall(r.Failed, r.Offered) }, Less: true},
 	{Name: "sends", Of: func(r *Result) float64 { return perCall(r.Attempts, r.Offered) }, Less: true},
 	{Name: "waste", Of: func(r *Result) float64 { return r.Waste }, Less: true},
-	{Name: "second", Of: func(r *Result) float64 { return r.Second }, Less: true},
+	{Name: "second", Of: func(r *Result) float64 { return r.NonPreferredShare }, Less: true},
 	{Name: "setup_p50_ms", Of: func(r *Result) float64 { return r.P50 }, Less: true},
 	{Name: "setup_p99_ms", Of: func(r *Result) float64 { return r.P99 }, Less: true},
 	{Name: "fairness", Of: func(r *Result) float64 { return r.Fairness }},
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -28,12 +28,12 @@
 	Score float64 `json:"score"`
 	// Service is the earned weight over the offered weight. A call that is not dropped earns its weight if it is
 	// established within its latency objective, and a share of it if it is established later.
-	Service    float64 `json:"service"`
-	Worst      float64 `json:"worst_10s"`   // service of the worst 10 s
-	WorstClass float64 `json:"worst_class"` // service of the worst class
-	Second     float64 `json:"second"`      // share of the established calls that are outside of their preferred pool
-	Waste      float64 `json:"waste"`       // processor time spent on failed calls, over that on the others
-	Fairness   float64 `json:"fairness"`    // Jain's index of the service of the controllers
+	Service           float64 `json:"service"`
+	Worst             float64 `json:"worst_10s"`   // service of the worst 10 s
+	WorstClass        float64 `json:"worst_class"` // service of the worst class
+	NonPreferredShare float64 `json:"second"`      // share of the established calls that are outside of their preferred pool
+	Waste             float64 `json:"waste"`       // processor time spent on failed calls, over that on the others
+	Fairness          float64 `json:"fairness"`    // Jain's index of the service of the controllers
 
 	Offered     int `json:"offered"` // calls
 	Tries       int `json:"tries"`   // offers by clients, redials included
@@ -121,7 +121,7 @@
 		r.Waste = float64(r.Exchanges.Wasted) / float64(good)
 	}
 	service := serviceShare*r.Service + worstShare*r.Worst + worstClassShare*r.WorstClass
-	r.Score = service - secondDeduction*r.Second - wasteDeduction*min(r.Waste, 1)
+	r.Score = service - secondDeduction*r.NonPreferredShare - wasteDeduction*min(r.Waste, 1)
 }
 
 // TotalViolations returns the number of invariant violations.
--- a/internal/sim/result/result_test.go
+++ b/internal/sim/result/result_test.go
@@ -37,8 +37,8 @@
 	if want := (Class{Name: "a", Offered: 4, InTime: 1, Late: 1, Dropped: 1, Service: r.Service}); r.Classes[0] != want {
 		t.Errorf("class %+v, want %+v", r.Classes[0], want)
 	}
-	if r.Second != 1.0/3 || r.Established != 3 || r.Dropped != 1 {
-		t.Errorf("%v outside of the preferred pool, %d established, %d dropped", r.Second, r.Established, r.Dropped)
+	if r.NonPreferredShare != 1.0/3 || r.Established != 3 || r.Dropped != 1 {
+		t.Errorf("%v outside of the preferred pool, %d established, %d dropped", r.NonPreferredShare, r.Established, r.Dropped)
 	}
 	if len(r.Seconds) != 2 || r.Seconds[0] != 0.625 || r.Seconds[1] != 0 {
 		t.Errorf("seconds %v", r.Seconds)
--- a/internal/sim/result/tally.go
+++ b/internal/sim/result/tally.go
@@ -151,7 +151,7 @@
 	r.Worst = worst(t.seconds, worstWindow)
 	t.computeClasses()
 	if r.Established > 0 {
-		r.Second = t.outsidePreferredPool / float64(r.Established)
+		r.NonPreferredShare = t.outsidePreferredPool / float64(r.Established)
 	}
 	r.Fairness = fairness(t.controllers)
 	r.P50 = t.setUpQuantile(50)
