--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -61,15 +61,15 @@
 	for i := range now {
 		paired[i] = now[i] - base[i]
 	}
-	interval := Bootstrap(paired, figure.Less)
+	interval := Bootstrap(paired, figure.LowerIsBetter)
 	return Difference{
 		Figure:     figure.Name,
 		Base:       stat.Mean(base, nil),
 		Now:        stat.Mean(now, nil),
 		Diff:       interval,
-		Verdict:    verdictOf(interval, figure.Less),
-		WorstBase:  Bootstrap(base, figure.Less).Worst,
-		WorstNow:   Bootstrap(now, figure.Less).Worst,
+		Verdict:    verdictOf(interval, figure.LowerIsBetter),
+		WorstBase:  Bootstrap(base, figure.LowerIsBetter).Worst,
+		WorstNow:   Bootstrap(now, figure.LowerIsBetter).Worst,
 		Resolution: (interval.High - interval.Low) / 2,
 	}
 }
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		mean := experiment.Bootstrap(experiment.Of(point.Results, figure), figure.Less).Mean
+		mean := experiment.Bootstrap(experiment.Of(point.Results, figure), figure.LowerIsBetter).Mean
 		row = append(row, formatFigure(figure.Name, mean))
 	}
 	violations := 0
--- a/internal/sim/result/figure.go
+++ b/internal/sim/result/figure.go
@@ -7,9 +7,9 @@
 
 // A Figure is a metric of a Result by which runs are compared.
 type Figure struct {
-	Name string // in tables and flags
-	Of   func(*Result) float64
-	Less bool // lower values are better
+	Name          string // in tables and flags
+	Of            func(*Result) float64
+	LowerIsBetter bool // lower values are better
 }
 
 // Figures lists the figures in the order of table columns. The first is the score.
@@ -18,15 +18,15 @@
 	{Name: "service", Of: func(r *Result) float64 { return r.Service }},
 	{Name: "worst_10s", Of: func(r *Result) float64 { return r.Worst }},
 	{Name: "worst_class", Of: func(r *Result) float64 { return r.WorstClass }},
-	{Name: "refused", Of: func(r *Result) float64 { return perCall(r.Rejected, r.Offered) }, Less: true},
-	{Name: "failed", Of: func(r *Result) float64 { return perCall(r.Failed, r.Offered) }, Less: true},
-	{Name: "sends", Of: func(r *Result) float64 { return perCall(r.Attempts, r.Offered) }, Less: true},
-	{Name: "waste", Of: func(r *Result) float64 { return r.Waste }, Less: true},
-	{Name: "second", Of: func(r *Result) float64 { return r.NonPreferredShare }, Less: true},
-	{Name: "setup_p50_ms", Of: func(r *Result) float64 { return r.P50 }, Less: true},
-	{Name: "setup_p99_ms", Of: func(r *Result) float64 { return r.P99 }, Less: true},
+	{Name: "refused", Of: func(r *Result) float64 { return perCall(r.Rejected, r.Offered) }, LowerIsBetter: true},
+	{Name: "failed", Of: func(r *Result) float64 { return perCall(r.Failed, r.Offered) }, LowerIsBetter: true},
+	{Name: "sends", Of: func(r *Result) float64 { return perCall(r.Attempts, r.Offered) }, LowerIsBetter: true},
+	{Name: "waste", Of: func(r *Result) float64 { return r.Waste }, LowerIsBetter: true},
+	{Name: "second", Of: func(r *Result) float64 { return r.NonPreferredShare }, LowerIsBetter: true},
+	{Name: "setup_p50_ms", Of: func(r *Result) float64 { return r.P50 }, LowerIsBetter: true},
+	{Name: "setup_p99_ms", Of: func(r *Result) float64 { return r.P99 }, LowerIsBetter: true},
 	{Name: "fairness", Of: func(r *Result) float64 { return r.Fairness }},
-	{Name: "cold_sends", Of: (*Result).PeakSlowStartLoad, Less: true},
+	{Name: "cold_sends", Of: (*Result).PeakSlowStartLoad, LowerIsBetter: true},
 }
 
 // An UnknownFigureError reports the name of a figure that does not exist.
--- a/internal/sim/result/result_test.go
+++ b/internal/sim/result/result_test.go
@@ -85,7 +85,7 @@
 
 func TestFigureNamed(t *testing.T) {
 	for _, f := range Figures {
-		if got, err := FigureNamed(f.Name); err != nil || got.Name != f.Name || got.Less != f.Less {
+		if got, err := FigureNamed(f.Name); err != nil || got.Name != f.Name || got.LowerIsBetter != f.LowerIsBetter {
 			t.Errorf("%s: %+v, %v", f.Name, got, err)
 		}
 	}
