--- a/internal/sim/result/recovery.go
+++ b/internal/sim/result/recovery.go
@@ -2,11 +2,11 @@
 
 // A Recovery describes how the service degraded and recovered after a fault.
 type Recovery struct {
-	Fault   string  `json:"fault"`
-	At      float64 `json:"at_s"`
-	Lowest  float64 `json:"lowest"`    // service of the worst second after the fault
-	Took    float64 `json:"took_s"`    // time until the service recovered, or notReached; 0 if it never fell
-	Noticed float64 `json:"noticed_s"` // time until the service fell, or notReached
+	Fault         string  `json:"fault"`
+	At            float64 `json:"at_s"`
+	Lowest        float64 `json:"lowest"`    // service of the worst second after the fault
+	TimeToRecover float64 `json:"took_s"`    // time until the service recovered, or notReached; 0 if it never fell
+	Noticed       float64 `json:"noticed_s"` // time until the service fell, or notReached
 }
 
 // notReached is the value of Took and Noticed if the event did not occur within the run.
@@ -25,7 +25,7 @@
 	from := int(r.At)
 	threshold := meanService(seconds, from-baselineWindow, from) - tolerance
 	r.Lowest = 1
-	r.Took = notReached
+	r.TimeToRecover = notReached
 	r.Noticed = notReached
 	for i := from; i < len(seconds); i++ {
 		elapsed := float64(i - from)
@@ -37,12 +37,12 @@
 		}
 		isAfterFall := r.Noticed >= 0 && elapsed > r.Noticed
 		hasWindow := i+recoveryWindow <= len(seconds)
-		if isAfterFall && r.Took < 0 && hasWindow && meanService(seconds, i, i+recoveryWindow) >= threshold {
-			r.Took = elapsed
+		if isAfterFall && r.TimeToRecover < 0 && hasWindow && meanService(seconds, i, i+recoveryWindow) >= threshold {
+			r.TimeToRecover = elapsed
 		}
 	}
 	if r.Noticed < 0 {
-		r.Took = 0
+		r.TimeToRecover = 0
 	}
 }
 
