--- a/internal/sim/result/recovery.go
+++ b/internal/sim/result/recovery.go
@@ -6,7 +6,7 @@
 	At            float64 `json:"at_s"`
 	Lowest        float64 `json:"lowest"`    // service of the worst second after the fault
 	TimeToRecover float64 `json:"took_s"`    // time until the service recovered, or notReached; 0 if it never fell
-	Noticed       float64 `json:"noticed_s"` // time until the service fell, or notReached
+	TimeToDegrade float64 `json:"noticed_s"` // time until the service fell, or notReached
 }
 
 // notReached is the value of Took and Noticed if the event did not occur within the run.
@@ -26,22 +26,22 @@
 	threshold := meanService(seconds, from-baselineWindow, from) - tolerance
 	r.Lowest = 1
 	r.TimeToRecover = notReached
-	r.Noticed = notReached
+	r.TimeToDegrade = notReached
 	for i := from; i < len(seconds); i++ {
 		elapsed := float64(i - from)
 		if seconds[i].offered > 0 {
 			r.Lowest = min(r.Lowest, seconds[i].ratio())
 		}
-		if r.Noticed < 0 && meanService(seconds, i, i+1) < threshold {
-			r.Noticed = elapsed
+		if r.TimeToDegrade < 0 && meanService(seconds, i, i+1) < threshold {
+			r.TimeToDegrade = elapsed
 		}
-		isAfterFall := r.Noticed >= 0 && elapsed > r.Noticed
+		isAfterFall := r.TimeToDegrade >= 0 && elapsed > r.TimeToDegrade
 		hasWindow := i+recoveryWindow <= len(seconds)
 		if isAfterFall && r.TimeToRecover < 0 && hasWindow && meanService(seconds, i, i+recoveryWindow) >= threshold {
 			r.TimeToRecover = elapsed
 		}
 	}
-	if r.Noticed < 0 {
+	if r.TimeToDegrade < 0 {
 		r.TimeToRecover = 0
 	}
 }
--- a/internal/sim/result/result_test.go
+++ b/internal/sim/result/result_test.go
@@ -70,9 +70,9 @@
 		seconds []service
 		want    Recovery
 	}{
-		"recovers": {secondsOf(1, 1, 1, 0.5, 1, 0.9, 1, 1, 1), Recovery{At: 2, Lowest: 0.5, TimeToRecover: 2, Noticed: 1}},
-		"stays":    {secondsOf(1, 1, 0.5, 0.5, 0.5), Recovery{At: 2, Lowest: 0.5, TimeToRecover: notReached, Noticed: 0}},
-		"no fall":  {secondsOf(1, 1, 0.96, 1), Recovery{At: 2, Lowest: 0.96, TimeToRecover: 0, Noticed: notReached}},
+		"recovers": {secondsOf(1, 1, 1, 0.5, 1, 0.9, 1, 1, 1), Recovery{At: 2, Lowest: 0.5, TimeToRecover: 2, TimeToDegrade: 1}},
+		"stays":    {secondsOf(1, 1, 0.5, 0.5, 0.5), Recovery{At: 2, Lowest: 0.5, TimeToRecover: notReached, TimeToDegrade: 0}},
+		"no fall":  {secondsOf(1, 1, 0.96, 1), Recovery{At: 2, Lowest: 0.96, TimeToRecover: 0, TimeToDegrade: notReached}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := Recovery{At: 2}
