--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -115,7 +115,7 @@
 func printFigures(w io.Writer, results []*result.Result) error {
 	var rows [][]string
 	for _, figure := range result.Figures {
-		interval := experiment.Bootstrap(experiment.Of(results, figure), figure.LowerIsBetter)
+		interval := experiment.Bootstrap(experiment.FigureValues(results, figure), figure.LowerIsBetter)
 		rows = append(rows, append([]string{figure.Name}, intervalCells(interval)...))
 	}
 	heading := append([]string{"FIGURE", "MEAN"}, intervalHeading...)
--- a/cmd/olivesim/sweep.go
+++ b/cmd/olivesim/sweep.go
@@ -129,7 +129,7 @@
 	if f.secondKey != "" {
 		row = append(row, secondValue)
 	}
-	interval := experiment.Bootstrap(experiment.Of(results, figure), figure.LowerIsBetter)
+	interval := experiment.Bootstrap(experiment.FigureValues(results, figure), figure.LowerIsBetter)
 	row = append(row, intervalCells(interval)...)
 	return append(row, strconv.Itoa(violated))
 }
--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -50,7 +50,7 @@
 	}
 	differences := make([]Difference, 0, len(result.Figures))
 	for _, figure := range result.Figures {
-		differences = append(differences, compareFigure(figure, Of(base, figure), Of(now, figure)))
+		differences = append(differences, compareFigure(figure, FigureValues(base, figure), FigureValues(now, figure)))
 	}
 	return differences, nil
 }
--- a/internal/sim/experiment/experiment.go
+++ b/internal/sim/experiment/experiment.go
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-// Of returns the value of a figure in each result.
-func Of(results []*result.Result, figure result.Figure) []float64 {
+// FigureValues returns the value of a figure in each result.
+func FigureValues(results []*result.Result, figure result.Figure) []float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
 		values[i] = figure.Of(r)
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -87,7 +87,7 @@
 	if f.Beside != "" {
 		row = append(row, point.Beside)
 	}
-	score := experiment.Bootstrap(experiment.Of(point.Results, result.Figures[0]), false)
+	score := experiment.Bootstrap(experiment.FigureValues(point.Results, result.Figures[0]), false)
 	row = append(row,
 		strconv.Itoa(score.Days),
 		Number(score.Mean),
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		mean := experiment.Bootstrap(experiment.Of(point.Results, figure), figure.LowerIsBetter).Mean
+		mean := experiment.Bootstrap(experiment.FigureValues(point.Results, figure), figure.LowerIsBetter).Mean
 		row = append(row, formatFigure(figure.Name, mean))
 	}
 	violations := 0
--- a/internal/sim/plot/experimentchart.go
+++ b/internal/sim/plot/experimentchart.go
@@ -75,7 +75,7 @@
 		if err != nil {
 			x = float64(i)
 		}
-		interval := experiment.Bootstrap(experiment.Of(point.Results, figure), figure.LowerIsBetter)
+		interval := experiment.Bootstrap(experiment.FigureValues(point.Results, figure), figure.LowerIsBetter)
 		c.X = append(c.X, x)
 		c.Y = append(c.Y, interval.Mean)
 		c.Low = append(c.Low, interval.Low)
