--- a/internal/sim/experiment/compare.go
+++ b/internal/sim/experiment/compare.go
@@ -34,8 +34,8 @@
 // minRuns is the minimum number of runs for a verdict other than Same.
 const minRuns = 5
 
-// ErrDifferentDays reports that two lists of results have different scenarios or seeds.
-var ErrDifferentDays = errors.New("the results have different scenarios or seeds")
+// ErrDifferentRuns reports that two lists of results have different scenarios or seeds.
+var ErrDifferentRuns = errors.New("the results have different scenarios or seeds")
 
 // Compare returns the difference of each figure between two programs. It compares pairs of runs, so both lists must
 // have the same scenarios and seeds in the same order.
@@ -45,7 +45,7 @@
 	}
 	for i := range now {
 		if base[i].Seed != now[i].Seed || base[i].Scenario != now[i].Scenario {
-			return nil, ErrDifferentDays
+			return nil, ErrDifferentRuns
 		}
 	}
 	differences := make([]Difference, 0, len(result.Figures))
