--- a/cmd/olivesim/report.go
+++ b/cmd/olivesim/report.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		part, err := plot.Of(stored)
+		part, err := plot.ExperimentSection(stored)
 		if err != nil {
 			return err
 		}
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -22,8 +22,8 @@
 	{"cold_sends", "slow start"},
 }
 
-// Of returns the section for an experiment.
-func Of(f *experiment.File) (Part, error) {
+// ExperimentSection returns the section for an experiment.
+func ExperimentSection(f *experiment.File) (Part, error) {
 	part := Part{
 		Title:   f.Scenario.Name,
 		About:   f.Scenario.About,
--- a/internal/sim/plot/plot_test.go
+++ b/internal/sim/plot/plot_test.go
@@ -30,12 +30,12 @@
 		}
 		f.Points = append(f.Points, experiment.Point{Value: load, Results: results})
 	}
-	sweep, err := Of(&f)
+	sweep, err := ExperimentSection(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Points = f.Points[:1]
-	single, err := Of(&f)
+	single, err := ExperimentSection(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
