--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -138,12 +138,12 @@
 	for _, d := range c.Differences {
 		rows = append(rows, []string{
 			d.Figure,
-			plot.Number(d.Base),
-			plot.Number(d.Now),
+			plot.FormatNumber(d.Base),
+			plot.FormatNumber(d.Now),
 			fmt.Sprintf("%+.3f", d.Diff.Mean),
 			fmt.Sprintf("%+.3f to %+.3f", d.Diff.Low, d.Diff.High),
-			plot.Number(d.WorstBase),
-			plot.Number(d.WorstNow),
+			plot.FormatNumber(d.WorstBase),
+			plot.FormatNumber(d.WorstNow),
 			string(d.Verdict),
 		})
 	}
--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -90,10 +90,10 @@
 		rows = append(rows, []string{
 			fmt.Sprintf("%.1f", offered),
 			fmt.Sprint(cost),
-			plot.Number(measured.Handled),
-			plot.Number(expected.Handled),
-			plot.Number(measured.Total),
-			plot.Number(expected.Total),
+			plot.FormatNumber(measured.Handled),
+			plot.FormatNumber(expected.Handled),
+			plot.FormatNumber(measured.Total),
+			plot.FormatNumber(expected.Total),
 		})
 	}
 	return simulated, theory, rows
--- a/cmd/olivesim/days.go
+++ b/cmd/olivesim/days.go
@@ -73,8 +73,8 @@
 // intervalCells formats the mean, the confidence interval and the worst day of a figure for a table.
 func intervalCells(interval experiment.Interval) []string {
 	return []string{
-		plot.Number(interval.Mean),
-		plot.Number(interval.Low) + " to " + plot.Number(interval.High),
-		plot.Number(interval.Worst),
+		plot.FormatNumber(interval.Mean),
+		plot.FormatNumber(interval.Low) + " to " + plot.FormatNumber(interval.High),
+		plot.FormatNumber(interval.Worst),
 	}
 }
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -90,9 +90,9 @@
 	score := experiment.Bootstrap(experiment.FigureValues(point.Results, result.Figures[0]), false)
 	row = append(row,
 		strconv.Itoa(score.Days),
-		Number(score.Mean),
-		Number(score.Low)+" to "+Number(score.High),
-		Number(score.Worst),
+		FormatNumber(score.Mean),
+		FormatNumber(score.Low)+" to "+FormatNumber(score.High),
+		FormatNumber(score.Worst),
 	)
 	for _, column := range tableFigures {
 		figure, err := result.FigureNamed(column.name)
@@ -114,5 +114,5 @@
 	if strings.HasSuffix(name, "_ms") {
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
-	return Number(v)
+	return FormatNumber(v)
 }
--- a/internal/sim/plot/page.go
+++ b/internal/sim/plot/page.go
@@ -37,5 +37,5 @@
 	return nil
 }
 
-// Number formats a figure with three decimals for tables.
-func Number(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
+// FormatNumber formats a figure with three decimals for tables.
+func FormatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
