--- a/cmd/olivesim/load.go
+++ b/cmd/olivesim/load.go
@@ -78,7 +78,7 @@
 
 func summarize(stats loopback.LoadStats) loadSummary {
 	quantile := func(percent float64) string {
-		setUpTime := time.Duration(stats.Took.ValueAtQuantile(percent)) * time.Microsecond
+		setUpTime := time.Duration(stats.SetUpTimes.ValueAtQuantile(percent)) * time.Microsecond
 		return setUpTime.Round(100 * time.Microsecond).String()
 	}
 	return loadSummary{
--- a/internal/sim/cluster/result.go
+++ b/internal/sim/cluster/result.go
@@ -68,7 +68,7 @@
 			s.Add(r.load.StatsOf(c.number))
 		}
 	}
-	milliseconds := func(percentile float64) float64 { return float64(s.Took.ValueAtQuantile(percentile)) / 1000 }
+	milliseconds := func(percentile float64) float64 { return float64(s.SetUpTimes.ValueAtQuantile(percentile)) / 1000 }
 	return ZoneStats{
 		Name:        zoneName(zone),
 		Sent:        s.Sent,
--- a/internal/sim/demo/play.go
+++ b/internal/sim/demo/play.go
@@ -86,10 +86,10 @@
 // logStats prints the statistics of the calls so far.
 func (d *demo) logStats(s loopback.LoadStats) {
 	percentile := func(p float64) time.Duration {
-		if s.Took == nil || s.Took.TotalCount() == 0 {
+		if s.SetUpTimes == nil || s.SetUpTimes.TotalCount() == 0 {
 			return 0
 		}
-		return (time.Duration(s.Took.ValueAtQuantile(p)) * time.Microsecond).Round(time.Millisecond)
+		return (time.Duration(s.SetUpTimes.ValueAtQuantile(p)) * time.Microsecond).Round(time.Millisecond)
 	}
 	d.logf("%5d calls: %d established (set-up time p50 %v, p99 %v), %d rejected, %d failed, %d abandoned, %d dropped",
 		s.Sent, s.Established, percentile(50), percentile(99), s.Rejected, s.Failed+s.Lost, s.Abandoned, s.Dropped)
--- a/internal/sim/loopback/load_call.go
+++ b/internal/sim/loopback/load_call.go
@@ -72,7 +72,7 @@
 	call.established = true
 	stats := &l.stats[c.index]
 	stats.Established++
-	_ = stats.Took.RecordValue(max(time.Since(call.due).Microseconds(), 1))
+	_ = stats.SetUpTimes.RecordValue(max(time.Since(call.due).Microseconds(), 1))
 }
 
 // finish handles the rejection, the failure or the release of a call.
--- a/internal/sim/loopback/load_stats.go
+++ b/internal/sim/loopback/load_stats.go
@@ -23,13 +23,13 @@
 	Lost        int // their connection failed or closed before the final answer
 	Released    int // ended normally after they were established
 	Dropped     int // ended for another reason after they were established
-	// Took is the histogram of set-up times, in microseconds.
-	Took *hdrhistogram.Histogram
+	// SetUpTimes is the histogram of set-up times, in microseconds.
+	SetUpTimes *hdrhistogram.Histogram
 }
 
 // NewLoadStats returns empty statistics.
 func NewLoadStats() LoadStats {
-	return LoadStats{Took: hdrhistogram.New(1, maxRecordedTime.Microseconds(), histogramSignificance)}
+	return LoadStats{SetUpTimes: hdrhistogram.New(1, maxRecordedTime.Microseconds(), histogramSignificance)}
 }
 
 // Add adds other statistics.
@@ -43,7 +43,7 @@
 	s.Lost += o.Lost
 	s.Released += o.Released
 	s.Dropped += o.Dropped
-	s.Took.Merge(o.Took)
+	s.SetUpTimes.Merge(o.SetUpTimes)
 }
 
 // Stats returns the statistics of all addresses so far.
@@ -63,6 +63,6 @@
 		return NewLoadStats()
 	}
 	s := l.stats[address]
-	s.Took = hdrhistogram.Import(s.Took.Export())
+	s.SetUpTimes = hdrhistogram.Import(s.SetUpTimes.Export())
 	return s
 }
--- a/internal/sim/loopback/loopback_test.go
+++ b/internal/sim/loopback/loopback_test.go
@@ -125,8 +125,8 @@
 	if s.Sent < 60 || s.Established != established || s.Established+s.Rejected+s.Failed+s.Abandoned != s.Sent || s.Dropped == 0 || s.Established < s.Sent*8/10 || setUps < established {
 		t.Errorf("load %+v; the exchanges established %d calls of %d set-ups", s, established, setUps)
 	}
-	if s.Took.TotalCount() != int64(s.Established) {
-		t.Errorf("%d set-up times recorded for %d established calls", s.Took.TotalCount(), s.Established)
+	if s.SetUpTimes.TotalCount() != int64(s.Established) {
+		t.Errorf("%d set-up times recorded for %d established calls", s.SetUpTimes.TotalCount(), s.Established)
 	}
 
 	// One exchange stops and is removed from discovery: calls go to the other.
@@ -205,8 +205,8 @@
 	}{
 		{"stood", fraction(s.Established, s.Sent)},
 		{"refused", fraction(s.Rejected, s.Sent)},
-		{"p50 ms", float64(s.Took.ValueAtQuantile(50)) / 1000},
-		{"p99 ms", float64(s.Took.ValueAtQuantile(99)) / 1000},
+		{"p50 ms", float64(s.SetUpTimes.ValueAtQuantile(50)) / 1000},
+		{"p99 ms", float64(s.SetUpTimes.ValueAtQuantile(99)) / 1000},
 	} {
 		values := valuesOf(results, figure.name)
 		b.Logf("load %v, %s: virtual time %.3f, runs from %.3f to %.3f; sockets %.3f", load, figure.name,
