--- a/cmd/olivesim/serve.go
+++ b/cmd/olivesim/serve.go
@@ -114,7 +114,7 @@
 	if index == 0 && f.firstAddr != "" {
 		addr = f.firstAddr
 	}
-	x, err := loopback.Listen(addr, sc.Model(), f.isSlowStart, f.seed+uint64(index))
+	x, err := loopback.Listen(addr, sc.ExchangeSettings(), f.isSlowStart, f.seed+uint64(index))
 	if err != nil {
 		return servedExchange{}, err
 	}
--- a/internal/sim/cluster/exchange_slot.go
+++ b/internal/sim/cluster/exchange_slot.go
@@ -97,7 +97,7 @@
 // startExchange starts an exchange in a slot, with a proxy for each controller.
 func (r *Run) startExchange(s *exchangeSlot, cold bool) error {
 	seed := r.options.Schedule.Seed + uint64(s.pool)*poolSeedStep + uint64(s.generation)*generationSeedStep
-	exchange, err := loopback.Listen("127.0.0.1:0", r.scenario.Model(), cold, seed)
+	exchange, err := loopback.Listen("127.0.0.1:0", r.scenario.ExchangeSettings(), cold, seed)
 	if err != nil {
 		return err
 	}
--- a/internal/sim/demo/start.go
+++ b/internal/sim/demo/start.go
@@ -62,7 +62,7 @@
 // startExchange starts an emulated exchange and adds its endpoint to the list.
 func (d *demo) startExchange(id string, pool int, cold bool) error {
 	seed := d.options.Seed + uint64(len(d.exchanges))*exchangeSeedStep
-	x, err := loopback.Listen("127.0.0.1:0", d.scenario.Model(), cold, seed)
+	x, err := loopback.Listen("127.0.0.1:0", d.scenario.ExchangeSettings(), cold, seed)
 	if err != nil {
 		return err
 	}
--- a/internal/sim/loopback/loopback_test.go
+++ b/internal/sim/loopback/loopback_test.go
@@ -101,7 +101,7 @@
 func TestLoadAndExchanges(t *testing.T) {
 	t.Parallel()
 	sc := scenario.Default()
-	settings := sc.Model()
+	settings := sc.ExchangeSettings()
 	settings.MeanHoldingTime = shortHolding
 	addr, names, all, endpoints := start(t, settings, 2)
 	l := &Load{Addrs: []string{addr}, Rate: 30, Duration: 3 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 1}
@@ -184,7 +184,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	addr, _, _, _ := start(b, sc.Model(), 3)
+	addr, _, _, _ := start(b, sc.ExchangeSettings(), 3)
 	l := &Load{
 		Addrs:         []string{addr},
 		Rate:          load * sc.Rate(),
@@ -236,7 +236,7 @@
 func TestClosedConnectionIsForgotten(t *testing.T) {
 	t.Parallel()
 	sc := scenario.Default()
-	settings := sc.Model()
+	settings := sc.ExchangeSettings()
 	settings.SetUp = time.Hour // no call is established
 	x, err := Listen("127.0.0.1:0", settings, false, 1)
 	if err != nil {
--- a/internal/sim/scenario/check.go
+++ b/internal/sim/scenario/check.go
@@ -44,7 +44,7 @@
 			return fmt.Errorf("fault %d (%s): %w", i+1, s.Fault[i].Kind, err)
 		}
 	}
-	model := s.Model()
+	model := s.ExchangeSettings()
 	return model.Check()
 }
 
--- a/internal/sim/scenario/derive.go
+++ b/internal/sim/scenario/derive.go
@@ -21,8 +21,8 @@
 // minPeriod is the minimum period of a wave in seconds; it prevents a division by zero.
 const minPeriod = 0.001
 
-// Model returns the settings of the emulated exchanges.
-func (s *Scenario) Model() exchange.Settings {
+// ExchangeSettings returns the settings of the emulated exchanges.
+func (s *Scenario) ExchangeSettings() exchange.Settings {
 	e := &s.Exchange
 	m := exchange.Settings{
 		SetUp:                  e.SetUp.D(),
@@ -73,7 +73,7 @@
 
 // Rate returns the planned load of all exchanges together in calls per second.
 func (s *Scenario) Rate() float64 {
-	m := s.Model()
+	m := s.ExchangeSettings()
 	return s.Exchange.Planned * m.Capacity() * float64(s.Fleet.Exchanges)
 }
 
--- a/internal/sim/virtualtime/simulation.go
+++ b/internal/sim/virtualtime/simulation.go
@@ -77,7 +77,7 @@
 		scenario:          sc,
 		options:           opt,
 		seed:              seed,
-		model:             sc.Model(),
+		model:             sc.ExchangeSettings(),
 		plannedRate:       sc.Rate(),
 		rng:               rand.New(rand.NewPCG(seed, environmentStream)),
 		controllersByName: make(map[string]*controller),
