--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -73,7 +73,7 @@
 // curvesForCost returns the handled load by simulation and by theory for a cost of rejections, with the rows of
 // the table. Offered loads without a steady state are not simulated.
 func curvesForCost(cost float64) (simulated, theory plot.Curve, rows [][]string) {
-	mix := sabourin.Paper(cost)
+	mix := sabourin.PaperMix(cost)
 	simulated.Name = fmt.Sprintf("rejected calls cost %v", cost)
 	theory.Name = fmt.Sprintf("theory, %v", cost)
 	theory.Dashed = true
--- a/internal/sim/sabourin/mix.go
+++ b/internal/sim/sabourin/mix.go
@@ -27,10 +27,10 @@
 	Total   float64 // by accepted and rejected calls
 }
 
-// Paper returns the mix of the paper, with thresholds of 0.8 and 0.9, for a relative cost of rejections. The paper
+// PaperMix returns the mix of the paper, with thresholds of 0.8 and 0.9, for a relative cost of rejections. The paper
 // considers costs of 0 (the ideal case) and of 30 to 50%. It does not specify the shares of the kinds; the ones here
 // are assumptions.
-func Paper(reject float64) Mix {
+func PaperMix(reject float64) Mix {
 	return Mix{Share: [kinds]float64{0.5, 0.4, 0.1}, Reject: reject, S1: 0.8, S2: 0.9}
 }
 
--- a/internal/sim/sabourin/mix_test.go
+++ b/internal/sim/sabourin/mix_test.go
@@ -11,7 +11,7 @@
 func TestSimulationMatchesTheory(t *testing.T) {
 	t.Parallel()
 	for _, reject := range []float64{0, 0.3, 0.5} {
-		m := Paper(reject)
+		m := PaperMix(reject)
 		for _, offered := range []float64{0.3, 0.6, 1.0, 1.2, 1.5, 2, 2.5} {
 			theory := m.Theory(offered)
 			simulated := m.Run(offered, 400*time.Second, 5)
@@ -37,7 +37,7 @@
 // falls as the offered load grows, and earlier the more they cost.
 func TestCostOfRejections(t *testing.T) {
 	t.Parallel()
-	free, costly, costlier := Paper(0), Paper(0.3), Paper(0.5)
+	free, costly, costlier := PaperMix(0), PaperMix(0.3), PaperMix(0.5)
 	if handled := free.Theory(1.5).Handled; math.Abs(handled-0.9) > 0.1 {
 		t.Errorf("free rejections: handled %.3f at an offered load of 1.5, want 0.9", handled)
 	}
