--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -84,7 +84,7 @@
 		if expected.Total > 1 {
 			continue
 		}
-		measured := mix.Run(offered, simulationLength, simulationSeed)
+		measured := mix.Simulate(offered, simulationLength, simulationSeed)
 		simulated.X = append(simulated.X, offered)
 		simulated.Y = append(simulated.Y, measured.Handled)
 		rows = append(rows, []string{
--- a/internal/sim/sabourin/mix_test.go
+++ b/internal/sim/sabourin/mix_test.go
@@ -14,7 +14,7 @@
 		m := PaperMix(reject)
 		for _, offered := range []float64{0.3, 0.6, 1.0, 1.2, 1.5, 2, 2.5} {
 			theory := m.Theory(offered)
-			simulated := m.Run(offered, 400*time.Second, 5)
+			simulated := m.Simulate(offered, 400*time.Second, 5)
 			if theory.Total > 1 {
 				continue // beyond collapse there is no steady state: the queue grows without bound
 			}
--- a/internal/sim/sabourin/simulate.go
+++ b/internal/sim/sabourin/simulate.go
@@ -20,8 +20,8 @@
 // warmUpDivisor is the ratio of the length of a simulation to that of its warm-up, which is not measured.
 const warmUpDivisor = 5
 
-// Run simulates a processor with the mix for the given length of time and returns its load after the warm-up.
-func (m Mix) Run(offered float64, length time.Duration, seed uint64) Load {
+// Simulate simulates a processor with the mix for the given length of time and returns its load after the warm-up.
+func (m Mix) Simulate(offered float64, length time.Duration, seed uint64) Load {
 	s := newSimulation(m, seed)
 	rate := offered / acceptedCost.Seconds()
 	warmUp := length / warmUpDivisor
