--- a/internal/sim/sabourin/mix.go
+++ b/internal/sim/sabourin/mix.go
@@ -16,9 +16,9 @@
 
 // A Mix is the traffic offered to a processor and the thresholds of its overload control.
 type Mix struct {
-	Share  [kinds]float64 // shares of outgoing, incoming and urgent calls
-	Reject float64        // processing time of a rejected call over that of an accepted one
-	S1, S2 float64        // load thresholds for the rejection of outgoing calls, and of incoming ones
+	Share      [kinds]float64 // shares of outgoing, incoming and urgent calls
+	RejectCost float64        // processing time of a rejected call over that of an accepted one
+	S1, S2     float64        // load thresholds for the rejection of outgoing calls, and of incoming ones
 }
 
 // A Load is the load of a processor, as a share of its capacity.
@@ -31,7 +31,7 @@
 // considers costs of 0 (the ideal case) and of 30 to 50%. It does not specify the shares of the kinds; the ones here
 // are assumptions.
 func PaperMix(reject float64) Mix {
-	return Mix{Share: [kinds]float64{0.5, 0.4, 0.1}, Reject: reject, S1: 0.8, S2: 0.9}
+	return Mix{Share: [kinds]float64{0.5, 0.4, 0.1}, RejectCost: reject, S1: 0.8, S2: 0.9}
 }
 
 // Theory returns the steady-state load for an offered load (section 3 of the paper). As the offered load grows, the
@@ -44,7 +44,7 @@
 			return Load{Handled: offered * (1 - rejected), Total: total}
 		}
 		if m.total(offered, rejected+m.Share[i]) <= threshold {
-			needed := (1 - threshold/offered) / (1 - m.Reject)
+			needed := (1 - threshold/offered) / (1 - m.RejectCost)
 			return Load{Handled: offered * (1 - needed), Total: threshold}
 		}
 		rejected += m.Share[i]
@@ -54,12 +54,12 @@
 
 // total returns the total load if the given share of the offered calls is rejected.
 func (m Mix) total(offered, rejected float64) float64 {
-	return offered * (1 - rejected*(1-m.Reject))
+	return offered * (1 - rejected*(1-m.RejectCost))
 }
 
 // Collapse returns the offered load above which the total load exceeds S2 even though only urgent calls are accepted.
 // Beyond it the total load grows without bound.
 func (m Mix) Collapse() float64 {
 	rejected := m.Share[outgoing] + m.Share[incoming]
-	return m.S2 / (1 - rejected*(1-m.Reject))
+	return m.S2 / (1 - rejected*(1-m.RejectCost))
 }
--- a/internal/sim/sabourin/simulate.go
+++ b/internal/sim/sabourin/simulate.go
@@ -59,7 +59,7 @@
 }
 
 func newSimulation(m Mix, seed uint64) *simulation {
-	rejectedCost := time.Duration(m.Reject * float64(acceptedCost))
+	rejectedCost := time.Duration(m.RejectCost * float64(acceptedCost))
 	settings := exchange.Settings{
 		SetUp:           acceptedCost,
 		Reject:          rejectedCost,
