--- a/cmd/olivesim/load.go
+++ b/cmd/olivesim/load.go
@@ -18,7 +18,7 @@
 )
 
 func loadCommand() *cobra.Command {
-	var generator loopback.Load
+	var generator loopback.LoadGenerator
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "load",
@@ -53,7 +53,7 @@
 	return c
 }
 
-func checkLoad(generator *loopback.Load) error {
+func checkLoad(generator *loopback.LoadGenerator) error {
 	switch {
 	case len(generator.Addrs) == 0:
 		return cli.UsageErrorf("--to is required: it names a call controller")
--- a/internal/sim/cluster/run.go
+++ b/internal/sim/cluster/run.go
@@ -43,7 +43,7 @@
 	logFile     *os.File
 	monitor     *monitor
 	etcd        *fakeetcd.Server
-	load        *loopback.Load
+	load        *loopback.LoadGenerator
 	controllers []*controller
 	agents      []*agent
 	slots       []*exchangeSlot
--- a/internal/sim/cluster/start.go
+++ b/internal/sim/cluster/start.go
@@ -92,7 +92,7 @@
 // prepareControllers allocates the controllers' addresses, starts their proxies and configures the load generator.
 func (r *Run) prepareControllers() error {
 	t := &r.options.Topology
-	r.load = &loopback.Load{
+	r.load = &loopback.LoadGenerator{
 		Rate:          r.scenario.Rate() * r.scenario.Callers.Load,
 		Duration:      r.options.CallDuration,
 		CallerTimeout: callerTimeout,
--- a/internal/sim/demo/play.go
+++ b/internal/sim/demo/play.go
@@ -33,7 +33,7 @@
 
 // play generates the load and injects the faults.
 func (d *demo) play(ctx context.Context) error {
-	load := &loopback.Load{
+	load := &loopback.LoadGenerator{
 		Addrs:         d.listen,
 		Rate:          d.options.Rate,
 		Duration:      d.options.For,
--- a/internal/sim/loopback/load.go
+++ b/internal/sim/loopback/load.go
@@ -13,9 +13,9 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A Load is an open-loop load generator: calls arrive independently of the answers to earlier ones, and the set-up time
+// A LoadGenerator is an open-loop load generator: calls arrive independently of the answers to earlier ones, and the set-up time
 // of a call is measured from its scheduled send time, so that a stall of the generator or of a controller counts.
-type Load struct {
+type LoadGenerator struct {
 	Addrs         []string // client addresses of the controllers
 	Rate          float64  // calls per second to all controllers together
 	Duration      time.Duration
@@ -46,7 +46,7 @@
 )
 
 // Run sends calls for Duration and then waits for the open ones. It stops early if ctx ends.
-func (l *Load) Run(ctx context.Context) error {
+func (l *LoadGenerator) Run(ctx context.Context) error {
 	if len(l.Addrs) == 0 || l.Rate <= 0 || len(l.Classes) == 0 {
 		return errors.New("load: Addrs, Rate and Classes are required")
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (l *Load) init() {
+func (l *LoadGenerator) init() {
 	if l.MaxOpen == 0 {
 		l.MaxOpen = defaultMaxOpen
 	}
@@ -73,14 +73,14 @@
 	}
 }
 
-func (l *Load) closeConns() {
+func (l *LoadGenerator) closeConns() {
 	for _, c := range l.conns {
 		c.close()
 	}
 }
 
 // sendAll sends calls with Poisson arrivals. It reports whether it sent all of them before ctx ended.
-func (l *Load) sendAll(ctx context.Context) bool {
+func (l *LoadGenerator) sendAll(ctx context.Context) bool {
 	rng := rand.New(rand.NewPCG(l.Seed, loadStream))
 	start := time.Now()
 	due := start
@@ -112,7 +112,7 @@
 }
 
 // awaitOpenCalls waits until no call is open, at most CallerTimeout and drainMargin.
-func (l *Load) awaitOpenCalls(ctx context.Context) {
+func (l *LoadGenerator) awaitOpenCalls(ctx context.Context) {
 	end := time.Now().Add(l.CallerTimeout + drainMargin)
 	for time.Now().Before(end) && ctx.Err() == nil && l.openCalls() > 0 {
 		time.Sleep(drainPollInterval)
@@ -120,7 +120,7 @@
 }
 
 // openCalls returns the number of calls without a final answer.
-func (l *Load) openCalls() int {
+func (l *LoadGenerator) openCalls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -133,14 +133,14 @@
 }
 
 // Pause stops or resumes sending calls to an address, as clients do when its controller shuts down.
-func (l *Load) Pause(address int, on bool) {
+func (l *LoadGenerator) Pause(address int, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused[address] = on
 }
 
 // observe passes an event at the controller of an address to Observe.
-func (l *Load) observe(address int, e invariant.Event) {
+func (l *LoadGenerator) observe(address int, e invariant.Event) {
 	if l.Observe != nil {
 		e.Controller = l.ControllerNames[address]
 		l.Observe(e)
@@ -156,7 +156,7 @@
 }
 
 // draw chooses the properties of a call. The order of the draws determines which calls a seed yields.
-func (l *Load) draw(rng *rand.Rand) callDraw {
+func (l *LoadGenerator) draw(rng *rand.Rand) callDraw {
 	class := l.Classes[scenario.Pick(l.Classes, rng.Float64())].Name
 	conn := l.conns[rng.IntN(len(l.conns))]
 	pool := rng.IntN(max(l.Pools, 1))
@@ -165,7 +165,7 @@
 }
 
 // send sends a call that was scheduled for the time due.
-func (l *Load) send(rng *rand.Rand, due time.Time, id string) {
+func (l *LoadGenerator) send(rng *rand.Rand, due time.Time, id string) {
 	d := l.draw(rng)
 	conn := d.conn
 	call := l.open(id, due, conn)
@@ -196,7 +196,7 @@
 }
 
 // open registers a call, or returns nil if it must not be sent because of MaxOpen or Pause.
-func (l *Load) open(id string, due time.Time, conn *loadConn) *loadCall {
+func (l *LoadGenerator) open(id string, due time.Time, conn *loadConn) *loadCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	stats := &l.stats[conn.index]
--- a/internal/sim/loopback/load_call.go
+++ b/internal/sim/loopback/load_call.go
@@ -22,7 +22,7 @@
 }
 
 // abandon cancels a call whose final answer did not arrive within CallerTimeout.
-func (l *Load) abandon(id string) {
+func (l *LoadGenerator) abandon(id string) {
 	call := l.removeOpen(id)
 	if call == nil {
 		return
@@ -36,7 +36,7 @@
 }
 
 // removeOpen removes an open call and counts it as abandoned. It returns nil if the call is not open.
-func (l *Load) removeOpen(id string) *loadCall {
+func (l *LoadGenerator) removeOpen(id string) *loadCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	call := l.calls[id]
@@ -49,7 +49,7 @@
 }
 
 // handle handles a message from a controller.
-func (l *Load) handle(c *loadConn, m *jsonl.Message) {
+func (l *LoadGenerator) handle(c *loadConn, m *jsonl.Message) {
 	switch m.Verb {
 	case jsonl.Started:
 		l.establish(c, m.Tag)
@@ -61,7 +61,7 @@
 }
 
 // establish handles the final answer that a call is established.
-func (l *Load) establish(c *loadConn, id string) {
+func (l *LoadGenerator) establish(c *loadConn, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.observe(c.index, invariant.Event{Kind: invariant.CallEstablished, Call: id})
@@ -76,7 +76,7 @@
 }
 
 // finish handles the rejection, the failure or the release of a call.
-func (l *Load) finish(c *loadConn, m *jsonl.Message) {
+func (l *LoadGenerator) finish(c *loadConn, m *jsonl.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	call := l.calls[m.Tag]
@@ -101,7 +101,7 @@
 }
 
 // loseOpenCalls removes the open calls of a closed connection and counts them as lost.
-func (l *Load) loseOpenCalls(c *loadConn) {
+func (l *LoadGenerator) loseOpenCalls(c *loadConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, call := range l.calls {
--- a/internal/sim/loopback/load_conn.go
+++ b/internal/sim/loopback/load_conn.go
@@ -17,7 +17,7 @@
 
 // A loadConn is the shared connection of all callers to a controller. It is dialed when a message is sent.
 type loadConn struct {
-	load  *Load
+	load  *LoadGenerator
 	index int // of the address in Load.Addrs
 	addr  string
 	mu    sync.Mutex
--- a/internal/sim/loopback/load_stats.go
+++ b/internal/sim/loopback/load_stats.go
@@ -47,7 +47,7 @@
 }
 
 // Stats returns the statistics of all addresses so far.
-func (l *Load) Stats() LoadStats {
+func (l *LoadGenerator) Stats() LoadStats {
 	all := NewLoadStats()
 	for i := range l.Addrs {
 		all.Add(l.StatsOf(i))
@@ -56,7 +56,7 @@
 }
 
 // StatsOf returns the statistics of an address so far.
-func (l *Load) StatsOf(address int) LoadStats {
+func (l *LoadGenerator) StatsOf(address int) LoadStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address >= len(l.stats) {
--- a/internal/sim/loopback/loopback_test.go
+++ b/internal/sim/loopback/loopback_test.go
@@ -104,7 +104,7 @@
 	settings := sc.ExchangeSettings()
 	settings.MeanHoldingTime = shortHolding
 	addr, names, all, endpoints := start(t, settings, 2)
-	l := &Load{Addrs: []string{addr}, Rate: 30, Duration: 3 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 1}
+	l := &LoadGenerator{Addrs: []string{addr}, Rate: 30, Duration: 3 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 1}
 	done := make(chan error, 1)
 	go func() { done <- l.Run(context.Background()) }()
 	for end := time.Now().Add(10 * time.Second); all[0].EstablishedCalls() == 0 || all[1].EstablishedCalls() == 0; time.Sleep(5 * time.Millisecond) {
@@ -132,14 +132,14 @@
 	// One exchange stops and is removed from discovery: calls go to the other.
 	all[0].Close()
 	names.Set(endpoints[1])
-	l = &Load{Addrs: []string{addr}, Rate: 20, Duration: 2 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 2}
+	l = &LoadGenerator{Addrs: []string{addr}, Rate: 20, Duration: 2 * time.Second, CallerTimeout: 3 * time.Second, Pools: 2, Classes: scenario.Default().Class, Seed: 2}
 	if err := l.Run(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if s := l.Stats(); s.Established < s.Sent/2 || s.Established+s.Rejected+s.Failed+s.Abandoned != s.Sent {
 		t.Errorf("load with one exchange: %+v", s)
 	}
-	if err := (&Load{}).Run(context.Background()); err == nil {
+	if err := (&LoadGenerator{}).Run(context.Background()); err == nil {
 		t.Error("Run accepted a load without addresses")
 	}
 }
@@ -185,7 +185,7 @@
 		b.Fatal(err)
 	}
 	addr, _, _, _ := start(b, sc.ExchangeSettings(), 3)
-	l := &Load{
+	l := &LoadGenerator{
 		Addrs:         []string{addr},
 		Rate:          load * sc.Rate(),
 		Duration:      sc.Length.D(),
