--- a/internal/sim/loopback/load.go
+++ b/internal/sim/loopback/load.go
@@ -13,8 +13,9 @@
 	"olivedale/internal/sim/scenario"
 )
 
-// A LoadGenerator is an open-loop load generator: calls arrive independently of the answers to earlier ones, and the set-up time
-// of a call is measured from its scheduled send time, so that a stall of the generator or of a controller counts.
+// A LoadGenerator sends calls to controllers in an open loop: calls arrive independently of the answers to earlier
+// ones, and the set-up time of a call is measured from its scheduled send time, so that a stall of the generator or of
+// a controller counts.
 type LoadGenerator struct {
 	Addrs         []string // client addresses of the controllers
 	Rate          float64  // calls per second to all controllers together
@@ -37,7 +38,7 @@
 
 const (
 	defaultMaxOpen = 10_000
-	// loadStream is the PCG stream of a load's random generator.
+	// loadStream is the PCG stream of a generator's random numbers.
 	loadStream = 3
 	// drainPollInterval is the interval at which Run checks whether calls are still open.
 	drainPollInterval = 10 * time.Millisecond
--- a/internal/sim/loopback/load_call.go
+++ b/internal/sim/loopback/load_call.go
@@ -13,7 +13,7 @@
 	causeNoCircuit      = 34
 )
 
-// A loadCall is an open or established call of a Load.
+// A loadCall is an open or established call of a LoadGenerator.
 type loadCall struct {
 	due         time.Time // scheduled send time
 	conn        *loadConn
--- a/internal/sim/loopback/load_conn.go
+++ b/internal/sim/loopback/load_conn.go
@@ -9,7 +9,7 @@
 	"olivedale/internal/codec/jsonl"
 )
 
-// Timeouts of a load's connections.
+// Timeouts of the connections to controllers.
 const (
 	loadDialTimeout  = time.Second
 	loadWriteTimeout = time.Second
@@ -18,7 +18,7 @@
 // A loadConn is the shared connection of all callers to a controller. It is dialed when a message is sent.
 type loadConn struct {
 	load  *LoadGenerator
-	index int // of the address in Load.Addrs
+	index int // of the address in LoadGenerator.Addrs
 	addr  string
 	mu    sync.Mutex
 	conn  net.Conn // nil: not connected
--- a/internal/sim/loopback/load_stats.go
+++ b/internal/sim/loopback/load_stats.go
@@ -12,7 +12,7 @@
 	histogramSignificance = 3 // decimal digits
 )
 
-// LoadStats holds the outcomes of the calls of a load.
+// LoadStats holds the outcomes of the calls of a LoadGenerator.
 type LoadStats struct {
 	Sent        int
 	NotSent     int // scheduled but not sent, because of MaxOpen or Pause
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -109,7 +109,7 @@
 	return append(row, strconv.Itoa(violations)), nil
 }
 
-// formatFigure formats milliseconds without decimals and other figures like Number.
+// formatFigure formats milliseconds without decimals and other figures like FormatNumber.
 func formatFigure(name string, v float64) string {
 	if strings.HasSuffix(name, "_ms") {
 		return strconv.FormatFloat(v, 'f', 0, 64)
--- a/internal/sim/result/recovery.go
+++ b/internal/sim/result/recovery.go
@@ -9,7 +9,7 @@
 	TimeToDegrade float64 `json:"noticed_s"` // time until the service fell, or notReached
 }
 
-// notReached is the value of Took and Noticed if the event did not occur within the run.
+// notReached is the value of a time in a Recovery if the event did not occur within the run.
 const notReached = -1
 
 // Parameters by which degradation and recovery are detected.
--- a/internal/sim/result/result.go
+++ b/internal/sim/result/result.go
@@ -24,14 +24,14 @@
 	Seed     uint64  `json:"seed"`
 	Length   float64 `json:"length_s"`
 
-	// Score is a weighted sum of Service, Worst and WorstClass, less deductions for Second and Waste.
+	// Score is a weighted sum of Service, Worst and WorstClass, less deductions for NonPreferredShare and Waste.
 	Score float64 `json:"score"`
 	// Service is the earned weight over the offered weight. A call that is not dropped earns its weight if it is
 	// established within its latency objective, and a share of it if it is established later.
 	Service           float64 `json:"service"`
 	Worst             float64 `json:"worst_10s"`   // service of the worst 10 s
 	WorstClass        float64 `json:"worst_class"` // service of the worst class
-	NonPreferredShare float64 `json:"second"`      // share of the established calls that are outside of their preferred pool
+	NonPreferredShare float64 `json:"second"`      // of the established calls, outside of their preferred pool
 	Waste             float64 `json:"waste"`       // processor time spent on failed calls, over that on the others
 	Fairness          float64 `json:"fairness"`    // Jain's index of the service of the controllers
 
@@ -133,7 +133,8 @@
 	return sum
 }
 
-// PeakSlowStartLoad returns the highest load of an exchange in slow start in any second, over its capacity in that second.
+// PeakSlowStartLoad returns the highest load of an exchange in slow start in any second, over its capacity in that
+// second.
 func (r *Result) PeakSlowStartLoad() float64 {
 	highest := 0.0
 	for _, c := range r.SlowStarts {
