--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -62,7 +62,7 @@
 		curves = append(curves, simulated, theory)
 		part.Rows = append(part.Rows, rows...)
 	}
-	chart, err := plot.Plot("handled load", "offered load", "", curves)
+	chart, err := plot.DrawChart("handled load", "offered load", "", curves)
 	if err != nil {
 		return part, err
 	}
--- a/internal/sim/cluster/page.go
+++ b/internal/sim/cluster/page.go
@@ -28,7 +28,7 @@
 	if len(r.Samples) < minPlotSamples {
 		return p, nil
 	}
-	svg, err := plot.Plot("calls sent but not established, cumulative", "s", "", r.curves())
+	svg, err := plot.DrawChart("calls sent but not established, cumulative", "s", "", r.curves())
 	if err != nil {
 		return p, err
 	}
--- a/internal/sim/plot/chart.go
+++ b/internal/sim/plot/chart.go
@@ -52,8 +52,8 @@
 	legendRowHeight = 0.06
 )
 
-// Plot draws curves as a chart and returns it as an SVG element.
-func Plot(title, xLabel, yLabel string, curves []Curve) (template.HTML, error) {
+// DrawChart draws curves as a chart and returns it as an SVG element.
+func DrawChart(title, xLabel, yLabel string, curves []Curve) (template.HTML, error) {
 	chart := newChart(title, xLabel, yLabel)
 	for i, c := range curves {
 		if err := addCurve(chart, c, palette[i%len(palette)]); err != nil {
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -45,7 +45,7 @@
 		if len(curves) == 0 {
 			continue
 		}
-		drawing, err := Plot(c.title, c.xLabel, c.yLabel, curves)
+		drawing, err := DrawChart(c.title, c.xLabel, c.yLabel, curves)
 		if err != nil {
 			return part, err
 		}
