--- a/internal/sim/loopback/names.go
+++ b/internal/sim/loopback/names.go
@@ -90,8 +90,8 @@
 	n.onAnswer = observe
 }
 
-// SetFrom sets the list and its serial number, as for a service that takes over from another.
-func (n *NameService) SetFrom(serial uint32, endpoints ...Endpoint) {
+// SetWithSerial sets the list and its serial number, as for a service that takes over from another.
+func (n *NameService) SetWithSerial(serial uint32, endpoints ...Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.serial = serial
--- a/internal/sim/soak/discovery.go
+++ b/internal/sim/soak/discovery.go
@@ -56,7 +56,7 @@
 	d.services[controller] = service
 	service.SetSilent(d.isSilent[controller])
 	service.OnAnswer(func(serial uint32) { d.recordDelivery(controller, serial) })
-	service.SetFrom(d.serial, d.endpoints(controller)...)
+	service.SetWithSerial(d.serial, d.endpoints(controller)...)
 	return service.Addr(), nil
 }
 
@@ -103,7 +103,7 @@
 	}
 	d.published[serial] = active
 	for controller, service := range d.services {
-		service.SetFrom(serial, d.endpoints(controller)...)
+		service.SetWithSerial(serial, d.endpoints(controller)...)
 		time.AfterFunc(assumedDeliveryTime, func() { d.recordDelivery(controller, serial) })
 	}
 }
