--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	results, err := experiment.Play(ctx, sc, seeds, simulationOptions())
+	results, err := experiment.RunSeeds(ctx, sc, seeds, simulationOptions())
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/olivesim/run.go
+++ b/cmd/olivesim/run.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	results, err := experiment.Play(ctx, sc, seeds, options)
+	results, err := experiment.RunSeeds(ctx, sc, seeds, options)
 	if err != nil {
 		return err
 	}
--- a/cmd/olivesim/sweep.go
+++ b/cmd/olivesim/sweep.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return experiment.Point{}, err
 	}
-	results, err := experiment.Play(ctx, changed, seeds, simulationOptions())
+	results, err := experiment.RunSeeds(ctx, changed, seeds, simulationOptions())
 	if err != nil {
 		return experiment.Point{}, err
 	}
--- a/internal/sim/cluster/comparison_test.go
+++ b/internal/sim/cluster/comparison_test.go
@@ -49,7 +49,7 @@
 func compareFloors(b *testing.B, bin string, load float64) {
 	b.Helper()
 	sc := comparisonScenario(load)
-	results, err := experiment.Play(b.Context(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
+	results, err := experiment.RunSeeds(b.Context(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/sim/experiment/experiment_test.go
+++ b/internal/sim/experiment/experiment_test.go
@@ -113,7 +113,7 @@
 	}
 	sc.Fault = nil
 	sc.Length = scenario.Duration(3 * time.Second)
-	all, err := Play(context.Background(), &sc, Seeds(1, 3), virtualtime.Options{})
+	all, err := RunSeeds(context.Background(), &sc, Seeds(1, 3), virtualtime.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sim/loopback/loopback_test.go
+++ b/internal/sim/loopback/loopback_test.go
@@ -180,7 +180,7 @@
 func compareRuns(b *testing.B, load float64) {
 	b.Helper()
 	sc := comparisonScenario(b, load)
-	results, err := experiment.Play(context.Background(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
+	results, err := experiment.RunSeeds(context.Background(), &sc, experiment.Seeds(1, 12), virtualtime.Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/sim/plot/plot_test.go
+++ b/internal/sim/plot/plot_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		results, err := experiment.Play(context.Background(), changed, experiment.Seeds(1, 3), virtualtime.Options{})
+		results, err := experiment.RunSeeds(context.Background(), changed, experiment.Seeds(1, 3), virtualtime.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
