--- a/internal/sim/experiment/experiment.go
+++ b/internal/sim/experiment/experiment.go
@@ -24,8 +24,8 @@
 	return seeds
 }
 
-// RunSeeds runs a scenario in virtual time with each seed, with one run per core in parallel, and returns the results in
-// the order of the seeds. When ctx ends it starts no further run and returns the error of ctx.
+// RunSeeds runs a scenario in virtual time with each seed, with one run per core in parallel, and returns the results
+// in the order of the seeds. When ctx ends it starts no further run and returns the error of ctx.
 func RunSeeds(
 	ctx context.Context, sc *scenario.Scenario, seeds []uint64, options virtualtime.Options,
 ) ([]*result.Result, error) {
