--- a/internal/sim/scenario/check.go
+++ b/internal/sim/scenario/check.go
@@ -89,7 +89,7 @@
 	for _, c := range classes {
 		sum += c.Share
 		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.Holding <= 0 || c.Share < 0 {
-			return fmt.Errorf("class %q: aim, give_up and holding must be positive, and give_up not less than aim", c.Name)
+			return fmt.Errorf("class %q: aim, give_up and holding must be positive, give_up at least aim", c.Name)
 		}
 	}
 	if math.Abs(sum-1) > shareTolerance {
