--- a/cmd/olivesim/cluster.go
+++ b/cmd/olivesim/cluster.go
@@ -202,7 +202,7 @@
 	if f.page == "" {
 		return nil
 	}
-	var parts []plot.Part
+	var parts []plot.Section
 	for _, res := range results {
 		part, err := res.PagePart()
 		if err != nil {
--- a/cmd/olivesim/curve.go
+++ b/cmd/olivesim/curve.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				return err
 			}
-			return writePage(file, "Overload control by call counting", []plot.Part{part})
+			return writePage(file, "Overload control by call counting", []plot.Section{part})
 		},
 	}
 	c.Flags().StringVarP(&file, "out", "o", "", "output file")
@@ -50,8 +50,8 @@
 }
 
 // curvePart computes the curves and their table.
-func curvePart() (plot.Part, error) {
-	part := plot.Part{
+func curvePart() (plot.Section, error) {
+	part := plot.Section{
 		Title:   "Handled load against offered load",
 		About:   curveDescription,
 		Heading: []string{"offered", "cost of a rejected call", "handled", "theory", "total", "theory"},
--- a/cmd/olivesim/report.go
+++ b/cmd/olivesim/report.go
@@ -30,7 +30,7 @@
 	if file == "" {
 		return errNoOutputFile
 	}
-	var parts []plot.Part
+	var parts []plot.Section
 	for _, path := range paths {
 		stored, err := experiment.Load(path)
 		if err != nil {
@@ -49,7 +49,7 @@
 var errNoOutputFile = cli.UsageErrorf("-o names the file to write; it is required")
 
 // writePage writes an HTML page to a file.
-func writePage(path, title string, parts []plot.Part) error {
+func writePage(path, title string, parts []plot.Section) error {
 	w, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/sim/cluster/page.go
+++ b/internal/sim/cluster/page.go
@@ -12,12 +12,12 @@
 
 // PagePart returns the section of a page for the run: its faults, its violations, and the results of the callers in
 // each zone as a table and a plot.
-func (r *Result) PagePart() (plot.Part, error) {
+func (r *Result) PagePart() (plot.Section, error) {
 	t := &r.Topology
 	about := fmt.Sprintf("%d call controllers, %d exchanges, %d zones with an agent each; calls for %.0f s. "+
 		"%d events captured, rules violated %d times.",
 		t.Controllers, t.Exchanges, t.Zones, r.Duration, r.EventCount, r.ViolationCount)
-	p := plot.Part{Title: fmt.Sprintf("Seed %d", r.Seed), About: about}
+	p := plot.Section{Title: fmt.Sprintf("Seed %d", r.Seed), About: about}
 	for _, f := range r.InjectedFaults {
 		p.Facts = append(p.Facts, f.Fault.String())
 	}
--- a/internal/sim/plot/experiment.go
+++ b/internal/sim/plot/experiment.go
@@ -23,8 +23,8 @@
 }
 
 // ExperimentSection returns the section for an experiment.
-func ExperimentSection(f *experiment.File) (Part, error) {
-	part := Part{
+func ExperimentSection(f *experiment.File) (Section, error) {
+	part := Section{
 		Title:   f.Scenario.Name,
 		About:   f.Scenario.About,
 		Facts:   facts(f),
--- a/internal/sim/plot/page.go
+++ b/internal/sim/plot/page.go
@@ -15,8 +15,8 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// A Part is a section of a page.
-type Part struct {
+// A Section is a section of a page.
+type Section struct {
 	Title   string
 	About   string   // description below the title
 	Facts   []string // list of parameters below the description
@@ -26,10 +26,10 @@
 }
 
 // Page writes an HTML document with the given sections.
-func Page(w io.Writer, title string, parts []Part) error {
+func Page(w io.Writer, title string, parts []Section) error {
 	document := struct {
 		Title string
-		Parts []Part
+		Parts []Section
 	}{title, parts}
 	if err := pageTemplate.Execute(w, document); err != nil {
 		return fmt.Errorf("plot: %w", err)
