--- a/cmd/olivesim/report.go
+++ b/cmd/olivesim/report.go
@@ -54,5 +54,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(plot.Page(w, title, parts), w.Close())
+	return errors.Join(plot.WritePage(w, title, parts), w.Close())
 }
--- a/internal/sim/plot/page.go
+++ b/internal/sim/plot/page.go
@@ -25,8 +25,8 @@
 	Plots   []template.HTML
 }
 
-// Page writes an HTML document with the given sections.
-func Page(w io.Writer, title string, parts []Section) error {
+// WritePage writes an HTML document with the given sections.
+func WritePage(w io.Writer, title string, parts []Section) error {
 	document := struct {
 		Title string
 		Parts []Section
--- a/internal/sim/plot/plot_test.go
+++ b/internal/sim/plot/plot_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := Page(&b, "t", []Section{sweep, single}); err != nil {
+	if err := WritePage(&b, "t", []Section{sweep, single}); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
