--- a/cmd/olivesim/demo.go
+++ b/cmd/olivesim/demo.go
@@ -52,7 +52,7 @@
 	f.IntVar(&o.Controllers, "controllers", 2, "number of call controllers")
 	f.IntVar(&o.Exchanges, "exchanges", 3, "number of emulated exchanges")
 	f.Float64Var(&o.Rate, "rate", 40, "calls per second")
-	f.DurationVar(&o.For, "for", 40*time.Second, "how long callers send calls")
+	f.DurationVar(&o.Duration, "for", 40*time.Second, "how long callers send calls")
 	f.Uint64Var(&o.Seed, "seed", 1, "random seed of calls and exchanges")
 	return c
 }
@@ -65,7 +65,7 @@
 		return cli.UsageErrorf("--exchanges is %d to %d", minDemoExchanges, maxDemoExchanges)
 	case o.Rate <= 0 || o.Rate > maxDemoRate:
 		return cli.UsageErrorf("--rate is up to %d calls per second", maxDemoRate)
-	case o.For < minDemoLength || o.For > maxDemoLength:
+	case o.Duration < minDemoLength || o.Duration > maxDemoLength:
 		return cli.UsageErrorf("--for is %v to %v", minDemoLength, maxDemoLength)
 	}
 	return nil
--- a/internal/sim/demo/demo.go
+++ b/internal/sim/demo/demo.go
@@ -28,7 +28,7 @@
 	Controllers int
 	Exchanges   int
 	Rate        float64       // calls per second
-	For         time.Duration // duration of the load
+	Duration    time.Duration // duration of the load
 	Seed        uint64
 	Out         io.Writer // for progress
 }
--- a/internal/sim/demo/demo_test.go
+++ b/internal/sim/demo/demo_test.go
@@ -33,7 +33,7 @@
 		}
 		var out bytes.Buffer
 		report := filepath.Join(dir, "report.html")
-		if err := Run(ctx, Options{Bin: dir, Dir: filepath.Join(t.TempDir(), "files"), Report: report, Agent: agent, Controllers: 2, Exchanges: 2, Rate: 30, For: length, Seed: 1, Out: &out}); err != nil {
+		if err := Run(ctx, Options{Bin: dir, Dir: filepath.Join(t.TempDir(), "files"), Report: report, Agent: agent, Controllers: 2, Exchanges: 2, Rate: 30, Duration: length, Seed: 1, Out: &out}); err != nil {
 			t.Fatalf("%v\n%s", err, out.String())
 		}
 		if c, err := net.DialTimeout("tcp", agent, 200*time.Millisecond); err == nil {
--- a/internal/sim/demo/play.go
+++ b/internal/sim/demo/play.go
@@ -36,7 +36,7 @@
 	load := &loopback.LoadGenerator{
 		Addrs:         d.listen,
 		Rate:          d.options.Rate,
-		Duration:      d.options.For,
+		Duration:      d.options.Duration,
 		CallerTimeout: callerTimeout,
 		Pools:         d.options.Exchanges,
 		Classes:       d.scenario.Class,
@@ -45,7 +45,7 @@
 	done := make(chan error, 1)
 	go func() { done <- load.Run(ctx) }()
 	d.logHints()
-	interval := d.options.For / 5
+	interval := d.options.Duration / 5
 	faults := []fault{
 		{interval, d.slowDown},
 		{2 * interval, d.replaceExchange},
@@ -53,7 +53,7 @@
 		{4 * interval, d.dropCalls},
 	}
 	start := time.Now()
-	ticker := time.NewTicker(max(d.options.For/10, minStatsInterval))
+	ticker := time.NewTicker(max(d.options.Duration/10, minStatsInterval))
 	defer ticker.Stop()
 	for {
 		var due <-chan time.Time
@@ -78,7 +78,7 @@
 // logHints prints commands that show the controllers while they run.
 func (d *demo) logHints() {
 	olivectl := filepath.Join(d.options.Bin, "olivectl")
-	d.logf("%v calls per second for %v; to watch, run in another terminal:", d.options.Rate, d.options.For)
+	d.logf("%v calls per second for %v; to watch, run in another terminal:", d.options.Rate, d.options.Duration)
 	d.logf("    %s top --agent %s", olivectl, d.options.Agent)
 	d.logf("    %s list --agent %s", olivectl, d.options.Agent)
 }
@@ -103,7 +103,7 @@
 		x.Do(func(m *exchange.Exchange, _ exchange.Time) { m.SetSlowdown(factor) })
 	}
 	setFactor(slowdownFactor)
-	time.AfterFunc(d.options.For/5, func() { setFactor(1) })
+	time.AfterFunc(d.options.Duration/5, func() { setFactor(1) })
 	return nil
 }
 
@@ -118,7 +118,7 @@
 	}
 	d.names.Set(d.endpoints...)
 	remaining := slices.Delete(slices.Clone(d.endpoints), last, last+1)
-	time.AfterFunc(d.options.For/5, func() {
+	time.AfterFunc(d.options.Duration/5, func() {
 		old.Close()
 		d.names.Set(remaining...)
 	})
