--- a/cmd/olivesim/soak.go
+++ b/cmd/olivesim/soak.go
@@ -129,7 +129,7 @@
 // runTrial runs the trial of a seed and adds its result.
 func (s *soakSeries) runTrial(seed uint64) {
 	dir := filepath.Join(s.dir, "seed-"+strconv.FormatUint(seed, 10))
-	result, err := s.runStory(dir, soak.GeneratePlan(seed))
+	result, err := s.runPlan(dir, soak.GeneratePlan(seed))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.played++
@@ -140,7 +140,8 @@
 	s.add(seed, result)
 }
 
-func (s *soakSeries) runStory(dir string, story *soak.Plan) (*soak.Result, error) {
+// runPlan runs the trial that plan describes and stores its progress log and its result in dir.
+func (s *soakSeries) runPlan(dir string, plan *soak.Plan) (*soak.Result, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -149,7 +150,7 @@
 		return nil, err
 	}
 	defer func() { _ = progressLog.Close() }()
-	result, err := soak.Run(soak.Options{Program: s.program, Dir: dir, Out: progressLog}, story)
+	result, err := soak.Run(soak.Options{Program: s.program, Dir: dir, Out: progressLog}, plan)
 	if err != nil {
 		return nil, err
 	}
