--- a/internal/server/overload.go
+++ b/internal/server/overload.go
@@ -54,7 +54,7 @@
 	c := &overloadControl{server: s, options: o, loggedAggregator: noAggregator}
 	if o.Keys != "" {
 		if c.keys, err = transport.LoadKeys(o.Keys); err != nil {
-			return nil, fmt.Errorf("share: %w", err)
+			return nil, fmt.Errorf("overload: %w", err)
 		}
 	}
 	now := s.loop.Now()
