--- a/internal/sim/soak/exchange_conn.go
+++ b/internal/sim/soak/exchange_conn.go
@@ -14,8 +14,8 @@
 	// maxQueuedMessages bounds the queue for a controller that does not read.
 	maxQueuedMessages = 4096
 	readBufferBytes   = 64 << 10
-	// quietTime is how long no more input must arrive until the input that arrived while a connection was not read is
-	// complete.
+	// quietTime is the period without further input after which readPending returns: all input that arrived while the
+	// connection was not read has then been read.
 	quietTime = 5 * time.Millisecond
 	// backlogTime is how long after a process continues an accepted connection counts as opened while it was stopped.
 	backlogTime = 100 * time.Millisecond
