--- a/cmd/olivesim/compare.go
+++ b/cmd/olivesim/compare.go
@@ -31,12 +31,12 @@
 	var base revision.Options
 	c := &cobra.Command{
 		Use:   "compare SCENARIO.toml... --base REV",
-		Short: "Run the same days with this program and with an earlier commit",
+		Short: "Compare results of this program with those of an earlier commit",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "compare builds the product of an earlier commit with the present simulator, in a work tree that it\n" +
-			"removes afterwards, and runs the same seeds with both. A commit that has another module path is run\n" +
-			"with its own simulator; standard error says which of the two was built. Differences are computed day\n" +
-			"by day; the table marks those whose confidence interval includes zero.",
+		Long: "compare builds the product of an earlier commit with the current simulator, in a worktree that it\n" +
+			"removes afterwards, and runs the same days (seeds) with this program and with that commit. A commit\n" +
+			"that has another module path is built with its own simulator; standard error says which simulator\n" +
+			"was used. Differences are paired by day; the table marks those whose confidence interval includes zero.",
 		Example: "  olivesim compare deploy/sim/*.toml --base HEAD~3 --days 24",
 		RunE: func(c *cobra.Command, scenarios []string) error {
 			return runCompare(c, scenarios, days, base)
@@ -46,11 +46,11 @@
 	c.Flags().StringVar(&base.Revision, "base", "", "commit, branch or tag to compare with (required)")
 	c.Flags().StringVar(&base.Repository, "repository", ".", "path of the repository")
 	c.Flags().BoolVar(&base.PolicyOnly, "module", false,
-		"take only the decision module from that commit, and all else from HEAD")
+		"take only the decision module from that commit, and the rest of the product from HEAD")
 	return c
 }
 
-// runCompare builds the base and compares it with this program for each scenario.
+// runCompare builds the program of the base commit and compares it with this program for each scenario.
 func runCompare(c *cobra.Command, scenarios []string, days dayFlags, base revision.Options) error {
 	seeds, err := days.seeds()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// compareScenario runs the days of a scenario with the base and with this program.
+// compareScenario runs the days of a scenario with the program of the base commit and with this program.
 func compareScenario(
 	ctx context.Context, base *revision.Build, path string, days dayFlags, seeds []uint64,
 ) (*comparison, error) {
@@ -112,7 +112,7 @@
 	return &comparison{Scenario: sc.Name, Base: base.Commit, Differences: differences}, nil
 }
 
-// runBase runs the days with the program of the base.
+// runBase runs the days with the program of the base commit.
 func runBase(ctx context.Context, base *revision.Build, path string, days dayFlags) ([]*result.Result, error) {
 	program := exec.CommandContext(ctx, base.Program, "run", path, "--json",
 		"--seed", strconv.FormatUint(days.firstSeed, 10), "--days", strconv.Itoa(days.count))
--- a/cmd/olivesim/days.go
+++ b/cmd/olivesim/days.go
@@ -31,7 +31,7 @@
 	c.Flags().BoolVar(&d.asJSON, "json", false, "print JSON")
 }
 
-// seeds returns the seeds of the days.
+// seeds checks the number of days and returns their seeds.
 func (d *dayFlags) seeds() ([]uint64, error) {
 	if d.count < 1 || d.count > maxDays {
 		return nil, cli.UsageErrorf("--days %d is not between 1 and %d", d.count, maxDays)
@@ -49,7 +49,7 @@
 	return sc, seeds, err
 }
 
-// save writes the results to the file of -o, if there is one.
+// save writes the results to the file that -o names, if any.
 func (d *dayFlags) save(f *experiment.File) error {
 	if d.file == "" {
 		return nil
@@ -57,7 +57,7 @@
 	return f.Save(d.file)
 }
 
-// newFile returns an experiment with the version of this program and the machine, without results.
+// newFile returns an experiment without results that names the version of this program and the machine.
 func newFile(sc *scenario.Scenario) *experiment.File {
 	return &experiment.File{Scenario: sc, Commit: cli.Version(), Machine: experiment.Machine()}
 }
